--- a/src/carobfork/platform/decoding.py
+++ b/src/carobfork/platform/decoding.py
@@ -10,7 +10,7 @@
 from carobfork import clock, exceptions
 from carobfork.gateway import routes, workers
 from carobfork.platform import names
-from carobfork.storage import notes
+from carobfork.storage import snapshots
 
 logger = structlog.get_logger(part='platform')
 
@@ -117,9 +117,11 @@
         )
 
 
-def encode_note(found: Sequence[StoredObject], revision: int) -> notes.Note:
+def encode_note(
+    found: Sequence[StoredObject], revision: int
+) -> snapshots.Snapshot:
     """Return objects in a form that ``decode_note`` reads."""
-    return notes.Note(
+    return snapshots.Snapshot(
         revision,
         {
             stored.name: (stored.revision, msgspec.msgpack.encode(stored))
@@ -128,7 +130,7 @@
     )
 
 
-def decode_note(note: notes.Note) -> list[StoredObject]:
+def decode_note(note: snapshots.Snapshot) -> list[StoredObject]:
     """Return objects that another host has kept.
 
     :raises BadRequestError: they are malformed.
--- a/src/carobfork/roles/front.py
+++ b/src/carobfork/roles/front.py
@@ -52,7 +52,7 @@
         self.table = workers.WorkerTable(self.timer)
         self.links = links.Links(
             self.timer,
-            links.Beats(self._compose, self._take_answer, self._pace_ms),
+            links.Heartbeats(self._compose, self._take_answer, self._pace_ms),
         )
         self.storage = clients.Client(
             self.links, known.losses, known.node, known.zone, self.timer
@@ -111,7 +111,7 @@
             self.relay.routes is not None
             and self.table.is_known
             and not self.server.is_leaving
-            and self.storage.is_reachable
+            and self.storage.has_quorum
         )
 
     def stop(self) -> None:
@@ -157,7 +157,7 @@
     ) -> messages.Presence | messages.Beat:
         """Return what a store host is told: all goes to the nearest one."""
         epoch = self.storage.group.epoch
-        if member.disk != self.storage.nearest():
+        if member.disk != self.storage.nearest_disk():
             return messages.Beat(epoch)
         ip, port = self.settings.front
         return messages.Presence(
@@ -173,10 +173,14 @@
         )
 
     def _pace_ms(self, member: groups.Member) -> float:
-        if member.disk != self.storage.nearest():
-            return links.CALM_BEAT_MS
+        if member.disk != self.storage.nearest_disk():
+            return links.IDLE_HEARTBEAT_INTERVAL_MS
         is_busy = self.relay.admission.waiting() or self.table.is_awaited
-        return links.BUSY_BEAT_MS if is_busy else links.BEAT_MS
+        return (
+            links.BUSY_HEARTBEAT_INTERVAL_MS
+            if is_busy
+            else links.HEARTBEAT_INTERVAL_MS
+        )
 
     def _take_answer(
         self, member: groups.Member, told: messages.Hosts | messages.News
@@ -199,7 +203,7 @@
 
     def _recall(self, seed: settings.Address) -> None:
         try:
-            told = links.ask_once(seed, messages.Recall())
+            told = links.request_once(seed, messages.Recall())
         except (OSError, exceptions.BadRequestError) as error:
             logger.info('nothing recalled', peer=seed, reason=str(error))
             return
--- a/src/carobfork/roles/store.py
+++ b/src/carobfork/roles/store.py
@@ -18,11 +18,11 @@
 from carobfork.storage import (
     disks,
     groups,
-    keepers,
     links,
     listeners,
     memberships,
     messages,
+    replicas,
 )
 
 RETIREMENT_POLL_MS = 250
@@ -43,15 +43,15 @@
         super().__init__(known)
         folder = pathlib.Path(known.data_folder)
         self.disk = disks.Disk(folder, clock.WallClock())
-        self.keeper = keepers.Keeper(self.disk)
+        self.keeper = replicas.Replica(self.disk)
         address = known.control or (known.ip, known.inner_ports[0])
         self.listener = listeners.Listener(address, self.keeper)
         self.register = registers.GroupRegister(self.store)
         self.retirement = registers.Retirement(self.store, known.node)
         self.links = links.Links(
             self.timer,
-            links.Beats(
-                lambda _member: self.keeper.informer.report(),
+            links.Heartbeats(
+                lambda _member: self.keeper.status_exchange.build_report(),
                 self._take_news,
                 self._pace_ms,
             ),
@@ -78,7 +78,7 @@
             self.follow(kind, functools.partial(self._note, kind))
             for kind in (names.KIND_CONFIG, names.KIND_SERVERS)
         ]
-        self.keeper.informer.is_following = lambda: all(
+        self.keeper.status_exchange.is_following = lambda: all(
             follower.is_fresh for follower in noted
         )
         self.links.apply(self.keeper.group, self.disk.identity.disk)
@@ -92,7 +92,7 @@
         gauges = {
             'storage_epoch': self.keeper.group.epoch,
             'storage_complete': self.disk.identity.is_complete,
-            **self.disk.ledger.describe(),
+            **self.disk.index.describe(),
         }
         counters = {
             'platform_calls': self.store.calls,
@@ -111,27 +111,35 @@
     def _note(self, kind: str, seen: followers.Snapshot) -> None:
         """Keep what entry hosts need to know of the platform."""
         note = decoding.encode_note(seen.present, seen.revision)
-        self.keeper.informer.note(kind, note, seen.was_away)
+        self.keeper.status_exchange.update_snapshot(kind, note, seen.was_away)
 
     def _pace_ms(self, _member: groups.Member) -> float:
-        is_busy = self.keeper.informer.has_waiting()
-        return links.BUSY_BEAT_MS if is_busy else links.BEAT_MS
+        is_busy = self.keeper.status_exchange.has_waiting_calls()
+        return (
+            links.BUSY_HEARTBEAT_INTERVAL_MS
+            if is_busy
+            else links.HEARTBEAT_INTERVAL_MS
+        )
 
     def _take_news(self, member: groups.Member, news: messages.News) -> None:
         """Ask a peer for what it knows and this host does not."""
-        if self.keeper.informer.note_news(news):
-            known = self.disk.notebook.revisions()
+        if self.keeper.status_exchange.apply_news(news):
+            known = self.disk.snapshots.revisions()
             self._recall(member, messages.Recall(known))
 
     def _recall(self, member: groups.Member, question: messages.Recall) -> None:
         link = self.links.get(member.disk)
         if link is not None:
-            link.ask(question, functools.partial(self._take_recalled, member))
+            link.send_request(
+                question, functools.partial(self._take_recalled, member)
+            )
 
     def _take_recalled(
         self, member: groups.Member, told: messages.Recalled | None
     ) -> None:
-        if told is not None and not self.keeper.informer.note_recalled(told):
+        if told is not None and not self.keeper.status_exchange.merge_recalled(
+            told
+        ):
             self._recall(member, messages.Recall())
 
     def _report_retirement(self) -> None:
--- a/src/carobfork/roles/updates.py
+++ b/src/carobfork/roles/updates.py
@@ -13,7 +13,7 @@
 from carobfork import clock, exceptions
 from carobfork.gateway import relays, workers
 from carobfork.platform import decoding, followers, names, registers
-from carobfork.storage import clients, links, messages, notes
+from carobfork.storage import clients, links, messages, snapshots
 
 UNTOLD_MS = 1100
 """Four beats: then an entry host follows the platform itself."""
@@ -43,7 +43,7 @@
         self._learners = learners
         self._timer = timer
         self._told_ms = timer.now_ms()
-        self._notebook = notes.Notebook()
+        self._notebook = snapshots.SnapshotCache()
         self._takers = {
             names.KIND_CONFIG: self._take_configs,
             names.KIND_SERVERS: self._take_workers,
@@ -75,7 +75,7 @@
             self._told_ms = self._timer.now_ms()
         if link is not None and self._notebook.is_behind(news.revisions):
             known = self._notebook.revisions()
-            link.ask(messages.Recall(known), self._recalled(link))
+            link.send_request(messages.Recall(known), self._recalled(link))
 
     def take_recalled(self, told: messages.Recalled) -> bool:
         """Take what a store host knows; tell whether all could be taken."""
@@ -93,7 +93,7 @@
     ) -> Callable[[messages.Recalled | None], None]:
         def take(told: messages.Recalled | None) -> None:  # noqa: WPS430
             if told is not None and not self.take_recalled(told):
-                link.ask(messages.Recall(), self._recalled(link))
+                link.send_request(messages.Recall(), self._recalled(link))
 
         return take
 
--- a/src/carobfork/storage/clients.py
+++ b/src/carobfork/storage/clients.py
@@ -17,19 +17,19 @@
 from carobfork import clock, exceptions
 from carobfork.storage import groups, links, messages
 
-OPERATION_MS = 1200
+OPERATION_TIMEOUT_MS = 1200
 """Longest wait: over the silence after which a link counts as gone."""
-BEGIN_PATIENCE_MS = 400
+BEGIN_RETRY_WINDOW_MS = 400
 """After a link's end or this host's start, until others are open or the group
 has changed; later a turn is refused at once, since it can go elsewhere."""
 RETRY_AFTER_MS = 300
 """A lost connection is open again, or a group has changed, within this time."""
-PART_MS = 300
+CHAIN_PART_TIMEOUT_MS = 300
 """For a part of a chain: many round trips, and another member may have it."""
-EPOCH_POLL_MS = 50
+EPOCH_POLL_INTERVAL_MS = 50
 """Between looks at whether the group has changed while answers are due."""
-SETTLE_TRIES = 4
-SETTLE_PAUSE_MS = 150
+MAX_SETTLE_TRIES = 4
+SETTLE_RETRY_INTERVAL_MS = 150
 """Between tries: together with them below the time to settle a turn."""
 _STEP = 'storage'
 
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class Outcome:
+class QuorumReplies:
     """Answers of members by their disks."""
 
     replies: dict[str, Any]
@@ -46,7 +46,7 @@
 class Client:
     """Ask the storage group.
 
-    :param linked: links to its hosts.
+    :param member_links: links to its hosts.
     :param losses: disks that may be lost at a time.
     :param node: the own host, which spreads hosts over members.
     :param zone: the own failure domain, preferred for reads.
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        linked: links.Links,
+        member_links: links.Links,
         losses: int,
         node: str,
         zone: str,
@@ -63,7 +63,7 @@
     ) -> None:
         """Start without a group."""
         self.group = groups.Group()
-        self._links = linked
+        self._links = member_links
         self._losses = losses
         self._node = node
         self._zone = zone
@@ -83,10 +83,10 @@
         self._links.apply(group)
 
     @property
-    def is_reachable(self) -> bool:
+    def has_quorum(self) -> bool:
         """Whether enough members can be asked now."""
         quorum = groups.Quorum(self.group, self._losses)
-        return quorum.is_written(self._links.connected_disks())
+        return quorum.is_write_quorum(self._links.connected_disks())
 
     def begin(self, message: messages.Begin) -> messages.Begun:
         """Reserve tokens and read a program's state.
@@ -96,16 +96,16 @@
         :raises NotRunError: too few members answered.
         :raises UnknownProgramError: no member of a quorum knows the turn.
         """
-        nearest = self.nearest()
-        outcome = self._operate(
+        nearest = self.nearest_disk()
+        quorum_replies = self._run_operation(
             {
                 disk: attrs.evolve(message, wants_details=disk == nearest)
-                for disk in self.group.everyone()
+                for disk in self.group.all_members()
             },
             is_read=True,
-            until_ms=self._links.changed_ms + BEGIN_PATIENCE_MS,
+            until_ms=self._links.last_disconnect_ms + BEGIN_RETRY_WINDOW_MS,
         )
-        merged = _merge(outcome.replies.values())
+        merged = _merge_replies(quorum_replies.replies.values())
         if not merged.knows_previous:
             raise exceptions.UnknownProgramError('no such turn', step=_STEP)
         return attrs.evolve(merged, chain=self._complete_chain(merged))
@@ -115,10 +115,10 @@
 
         :raises NotRunError: too few members have synced it.
         """
-        self._operate(
-            {disk: message for disk in self.group.everyone()},
+        self._run_operation(
+            {disk: message for disk in self.group.all_members()},
             is_read=False,
-            until_ms=self._timer.now_ms() + OPERATION_MS,
+            until_ms=self._timer.now_ms() + OPERATION_TIMEOUT_MS,
         )
 
     def settle(self, message: messages.Finish) -> None:
@@ -126,7 +126,7 @@
 
         What can't be settled stays charged with the most it could generate.
         """
-        for _ in range(SETTLE_TRIES):
+        for _ in range(MAX_SETTLE_TRIES):
             try:
                 return self.finish(message)
             except exceptions.NotRunError as error:
@@ -135,24 +135,26 @@
                     attempt=message.charge.attempt,
                     reason=error.message,
                 )
-            gevent.sleep(clock.to_seconds(SETTLE_PAUSE_MS))
+            gevent.sleep(clock.to_seconds(SETTLE_RETRY_INTERVAL_MS))
 
     def place(self, attempt: str, worker: str) -> None:
         """Tell on which server a turn runs; nobody waits for the answer."""
         for link in self._links.all():
-            link.ask(messages.Place(attempt, worker), _ignore)
+            link.send_request(messages.Place(attempt, worker), _ignore_reply)
 
-    def nearest(self) -> str:
+    def nearest_disk(self) -> str:
         """Return the disk to ask where one member's answer is enough."""
         usable = [link for link in self._links.all() if link.is_connected]
         usable = [
-            link for link in usable if self.group.holds(link.member.disk)
+            link
+            for link in usable
+            if self.group.has_member_disk(link.member.disk)
         ] or usable
-        near = [link for link in usable if link.member.zone == self._zone]
-        disks = [link.member.disk for link in near or usable]
-        return min(disks, key=self._distance, default='')
+        same_zone = [link for link in usable if link.member.zone == self._zone]
+        disks = [link.member.disk for link in same_zone or usable]
+        return min(disks, key=self._preference, default='')
 
-    def _distance(self, disk: str) -> int:
+    def _preference(self, disk: str) -> int:
         """Return a disk's place in this host's own order."""
         return zlib.crc32(disk.encode(), zlib.crc32(self._node.encode()))
 
@@ -167,7 +169,7 @@
         parts = [begun.chain]
         missing = begun.missing
         while missing:
-            found = self._fetch_part(missing)
+            found = self._fetch_chain_part(missing)
             if found is None:
                 raise exceptions.NotRunError(
                     f'turn {missing} is out of reach',
@@ -178,22 +180,22 @@
             missing = found.missing
         return b''.join(reversed(parts))
 
-    def _fetch_part(self, turn: str) -> messages.Begun | None:
+    def _fetch_chain_part(self, turn: str) -> messages.Begun | None:
         """Return a turn and those before it from any member that has it."""
-        question = messages.Begin(None, previous=turn, wants_details=True)
+        request = messages.Begin(None, previous=turn, wants_details=True)
         for link in self._links.all():
             reply = None
             try:
-                reply = link.request(question, PART_MS)
+                reply = link.request(request, CHAIN_PART_TIMEOUT_MS)
             except exceptions.ConnectionFailedError as error:
                 logger.info('chain not read', turn=turn, reason=str(error))
             if isinstance(reply, messages.Begun) and reply.knows_previous:
                 return reply
         return None
 
-    def _operate(
+    def _run_operation(
         self, requests: dict[str, Any], is_read: bool, until_ms: float
-    ) -> Outcome:
+    ) -> QuorumReplies:
         """Send requests, again where the group or the links have changed.
 
         :param until_ms: how long to wait for such a change.
@@ -204,51 +206,53 @@
             epoch = self.group.epoch
             operation = _Operation(self.group, self._losses, is_read)
             operation.send(self._links, requests)
-            if self._await(operation, epoch, started_ms + OPERATION_MS):
-                return Outcome(operation.replies)
+            if self._await_quorum(
+                operation, epoch, started_ms + OPERATION_TIMEOUT_MS
+            ):
+                return QuorumReplies(operation.replies)
             for refused in operation.refused.values():
                 self.apply(refused.group)
-            is_over = self._timer.now_ms() > started_ms + OPERATION_MS
+            is_over = self._timer.now_ms() > started_ms + OPERATION_TIMEOUT_MS
             if is_over or not self._wait_for_change(epoch, until_ms):
                 raise exceptions.NotRunError(
                     f'too few store hosts answered: {operation.describe()}',
                     step=_STEP,
                     retry_after_ms=RETRY_AFTER_MS,
                 )
-            requests = _readdress(requests, self.group)
+            requests = _retarget(requests, self.group)
 
     def _wait_for_change(self, epoch: int, until_ms: float) -> bool:
         """Tell whether a newer group or another link came in time."""
         before = self._links.connected_disks()
         if self.group.epoch == epoch:
-            self._links.hurry()
+            self._links.probe()
         while self.group.epoch == epoch:
             if self._links.connected_disks() - before:
                 return True
             if self._timer.now_ms() > until_ms:
                 return False
-            gevent.sleep(clock.to_seconds(EPOCH_POLL_MS))
+            gevent.sleep(clock.to_seconds(EPOCH_POLL_INTERVAL_MS))
         return True
 
-    def _await(
+    def _await_quorum(
         self, operation: '_Operation', epoch: int, until_ms: float
     ) -> bool:
         """Tell whether enough members answered before the group changed."""
-        while not operation.wait(EPOCH_POLL_MS):
+        while not operation.wait(EPOCH_POLL_INTERVAL_MS):
             is_changed = self.group.epoch != epoch
             is_late = self._timer.now_ms() > until_ms
-            if is_changed or is_late or operation.is_hopeless():
+            if is_changed or is_late or operation.cannot_succeed():
                 return False
         return True
 
 
-def _readdress(requests: dict[str, Any], group: groups.Group) -> dict[str, Any]:
+def _retarget(requests: dict[str, Any], group: groups.Group) -> dict[str, Any]:
     """Return the requests for the members of another group."""
     sample = next(iter(requests.values()), None)
-    return {disk: requests.get(disk, sample) for disk in group.everyone()}
+    return {disk: requests.get(disk, sample) for disk in group.all_members()}
 
 
-def _ignore(_reply: Any) -> None:
+def _ignore_reply(_reply: Any) -> None:
     """Take an answer that says no more than that it came."""
 
 
@@ -266,30 +270,32 @@
         self._quorum = groups.Quorum(group, losses)
         self._inbox: queue.Queue = queue.Queue()
 
-    def send(self, linked: links.Links, requests: dict[str, Any]) -> None:
+    def send(self, member_links: links.Links, requests: dict[str, Any]) -> None:
         for disk, request in requests.items():
-            link = linked.get(disk)
+            link = member_links.get(disk)
             if link is None:
                 self._inbox.put((disk, None))
             else:
                 self._requests[disk] = (link, request)
-                link.ask(request, self._receiver(disk))
+                link.send_request(request, self._reply_callback(disk))
 
     def wait(self, span_ms: float) -> bool:
         """Wait for answers; tell whether they are enough.
 
         Ends early where they can't become enough.
         """
-        while not self._is_done():
-            if self.is_hopeless():
+        while not self._has_quorum():
+            if self.cannot_succeed():
                 return False
             try:
-                self._take(*self._inbox.get(timeout=clock.to_seconds(span_ms)))
+                self._handle_reply(
+                    *self._inbox.get(timeout=clock.to_seconds(span_ms))
+                )
             except queue.Empty:
                 return False
         return True
 
-    def is_hopeless(self) -> bool:
+    def cannot_succeed(self) -> bool:
         """Tell whether too many members failed or know a newer group."""
         return self._is_outdated or self._quorum.is_lost(self._failed)
 
@@ -303,53 +309,56 @@
             f'{len(self._failed)} failed, refused {reasons}'
         )
 
-    def _is_done(self) -> bool:
-        if self._is_read and not self._quorum.is_read(set(self.replies)):
+    def _has_quorum(self) -> bool:
+        if self._is_read and not self._quorum.is_read_quorum(set(self.replies)):
             return False
-        return self._quorum.is_written(set(self.replies))
+        return self._quorum.is_write_quorum(set(self.replies))
 
-    def _receiver(self, disk: str):
+    def _reply_callback(self, disk: str):
         return lambda reply: self._inbox.put((disk, reply))
 
-    def _take(self, disk: str, reply: Any) -> None:
+    def _handle_reply(self, disk: str, reply: Any) -> None:
         if isinstance(reply, messages.Refused):
-            self._take_refusal(disk, reply)
+            self._handle_refusal(disk, reply)
         elif reply is None:
             self._failed.add(disk)
         else:
             self.replies[disk] = reply
 
-    def _take_refusal(self, disk: str, refused: messages.Refused) -> None:
+    def _handle_refusal(self, disk: str, refused: messages.Refused) -> None:
         """Ask a member again that did not know the group; else give it up."""
         is_first = disk not in self.refused
         self.refused[disk] = refused
         if refused.reason == 'behind' and is_first:
             link, request = self._requests[disk]
-            link.ask(messages.Adopt(self._group), _ignore)
-            link.ask(request, self._receiver(disk))
+            link.send_request(messages.Adopt(self._group), _ignore_reply)
+            link.send_request(request, self._reply_callback(disk))
             return
         self._is_outdated = refused.reason == 'stale'
         self._failed.add(disk)
 
 
-def _merge(answers: Iterable[messages.Begun]) -> messages.Begun:
+def _merge_replies(replies: Iterable[messages.Begun]) -> messages.Begun:
     """Return what all members know; the longest chain stands."""
     charges: dict[str, tuple[int, bool]] = {}
-    knows = False
+    knows_previous = False
     open_turns = None
     longest = messages.Begun({})
-    for begun in answers:
+    for begun in replies:
         open_turns = open_turns or begun.open_turns
-        knows = knows or begun.knows_previous
+        knows_previous = knows_previous or begun.knows_previous
         if len(begun.chain) >= len(longest.chain):
             longest = begun
-        fresh = {
+        updates = {
             attempt: charge
             for attempt, charge in begun.charges.items()
             # Settled charges are final; a reservation may be outdated.
             if charge[1] or attempt not in charges
         }
-        charges.update(fresh)
+        charges.update(updates)
     return attrs.evolve(
-        longest, charges=charges, knows_previous=knows, open_turns=open_turns
+        longest,
+        charges=charges,
+        knows_previous=knows_previous,
+        open_turns=open_turns,
     )
--- a/src/carobfork/storage/disks.py
+++ b/src/carobfork/storage/disks.py
@@ -17,12 +17,12 @@
 from gevent import event
 
 from carobfork import clock
-from carobfork.storage import groups, ledgers, notes, segments
+from carobfork.storage import groups, record_indexes, segments, snapshots
 
-EXPIRE_EVERY_MS = 5000
-_IDENTITY = 'identity'
-_NOTES = 'notes'
-_DISK_BYTES = 8
+EXPIRY_INTERVAL_MS = 5000
+_IDENTITY_FILE = 'identity'
+_SNAPSHOTS_FILE = 'notes'
+_DISK_ID_BYTES = 8
 
 logger = structlog.get_logger(part='disk')
 
@@ -43,13 +43,13 @@
 class Submission:
     """Records that wait for the disk, and what follows.
 
-    :param answer: called when the records are synced and indexed.
-    :param fail: called where the disk refused them.
+    :param on_synced: called when the records are synced and indexed.
+    :param on_failed: called where the disk refused them.
     """
 
-    records: list[ledgers.Record]
-    answer: Callable[[], Any]
-    fail: Callable[[], Any]
+    records: list[record_indexes.Record]
+    on_synced: Callable[[], Any]
+    on_failed: Callable[[], Any]
 
 
 class Disk:
@@ -64,67 +64,72 @@
         self._folder = folder
         self.identity = _load_identity(folder)
         self._files = segments.Segments(folder)
-        self.ledger = ledgers.Ledger(self._files, timer)
-        self.notebook = notes.Notebook(_load_notes(folder))
+        self.index = record_indexes.RecordIndex(self._files, timer)
+        self.snapshots = snapshots.SnapshotCache(_load_snapshots(folder))
         self.synced_batches = 0
-        self._waiting: list[Submission] = []
-        self._wakened = event.Event()
+        self._pending: list[Submission] = []
+        self._has_pending = event.Event()
         logger.info(
             'disk opened',
             disk=self.identity.disk,
             complete=self.identity.is_complete,
             epoch=self.identity.group.epoch,
-            **self.ledger.describe(),
+            **self.index.describe(),
         )
 
-    def save(self, identity: Identity) -> None:
+    def save_identity(self, identity: Identity) -> None:
         """Replace what the disk says of itself, permanently."""
         segments.write_file(
-            self._folder / _IDENTITY, msgspec.msgpack.encode(identity)
+            self._folder / _IDENTITY_FILE, msgspec.msgpack.encode(identity)
         )
         self.identity = identity
 
-    def mark(self, is_complete: bool) -> None:
+    def save_completeness(self, is_complete: bool) -> None:
         """Note whether the disk holds all that it should, permanently."""
         if self.identity.is_complete != is_complete:
             logger.info('copy complete' if is_complete else 'copy begun')
-            self.save(attrs.evolve(self.identity, is_complete=is_complete))
+            self.save_identity(
+                attrs.evolve(self.identity, is_complete=is_complete)
+            )
 
-    def save_notes(self) -> None:
+    def save_snapshots(self) -> None:
         """Keep what was learnt of the platform, for hosts that start."""
         segments.write_file(
-            self._folder / _NOTES, msgspec.msgpack.encode(self.notebook.notes)
+            self._folder / _SNAPSHOTS_FILE,
+            msgspec.msgpack.encode(self.snapshots.snapshots),
         )
 
     def submit(self, submission: Submission) -> None:
         """Write records, if there are any, and answer then."""
         if submission.records:
-            self._waiting.append(submission)
-            self._wakened.set()
+            self._pending.append(submission)
+            self._has_pending.set()
         else:
-            submission.answer()
+            submission.on_synced()
 
-    def read(self, entry: segments.Place | ledgers.Record) -> bytes:
+    def read(
+        self, entry: segments.RecordLocation | record_indexes.Record
+    ) -> bytes:
         """Return an entry of the ledger's dump as a record's bytes."""
-        if isinstance(entry, segments.Place):
+        if isinstance(entry, segments.RecordLocation):
             return self._files.read(entry)
-        return ledgers.encode_record(entry)
+        return record_indexes.encode_record(entry)
 
     def run(self) -> None:
         """Write what arrives, until the greenlet is killed."""
         while True:
-            self._wakened.wait()
-            self._wakened.clear()
-            batch = self._waiting
-            self._waiting = []
+            self._has_pending.wait()
+            self._has_pending.clear()
+            batch = self._pending
+            self._pending = []
             self._commit(batch)
 
     def run_expiry(self) -> None:
         """Remove what is past its time, until the greenlet is killed."""
         while True:
-            gevent.sleep(clock.to_seconds(EXPIRE_EVERY_MS))
-            for segment in self.ledger.expire():
-                self._files.drop(segment)
+            gevent.sleep(clock.to_seconds(EXPIRY_INTERVAL_MS))
+            for segment in self.index.expire():
+                self._files.remove(segment)
                 logger.info('segment removed', segment=segment)
 
     def close(self) -> None:
@@ -132,43 +137,45 @@
         self._files.close()
 
     def _commit(self, batch: list[Submission]) -> None:
-        records = [record for waiting in batch for record in waiting.records]
-        encoded = [ledgers.encode_record(record) for record in records]
+        records = [
+            record for submission in batch for record in submission.records
+        ]
+        encoded = [record_indexes.encode_record(record) for record in records]
         pool = gevent.get_hub().threadpool
         try:
-            places = pool.apply(self._write, (encoded,))
+            locations = pool.apply(self._write, (encoded,))
         except OSError as error:
             logger.error('disk failed', reason=str(error), records=len(records))
-            for refused in batch:
-                refused.fail()
+            for failed in batch:
+                failed.on_failed()
             return
         self.synced_batches += 1
-        for record, place in zip(records, places, strict=True):
-            self.ledger.apply(record, place)
-        for written in batch:
-            written.answer()
+        for record, location in zip(records, locations, strict=True):
+            self.index.apply(record, location)
+        for synced in batch:
+            synced.on_synced()
 
-    def _write(self, encoded: list[bytes]) -> list[segments.Place]:
-        places = self._files.append(encoded)
+    def _write(self, encoded: list[bytes]) -> list[segments.RecordLocation]:
+        locations = self._files.append(encoded)
         self._files.sync()
-        return places
+        return locations
 
 
-def _load_notes(folder: pathlib.Path) -> dict[str, notes.Note]:
-    path = folder / _NOTES
+def _load_snapshots(folder: pathlib.Path) -> dict[str, snapshots.Snapshot]:
+    path = folder / _SNAPSHOTS_FILE
     if path.exists():
         return msgspec.msgpack.decode(
-            path.read_bytes(), type=dict[str, notes.Note]
+            path.read_bytes(), type=dict[str, snapshots.Snapshot]
         )
     return {}
 
 
 def _load_identity(folder: pathlib.Path) -> Identity:
     """Return the disk's identity; a new disk gets a new one."""
-    path = folder / _IDENTITY
+    path = folder / _IDENTITY_FILE
     if path.exists():
         return msgspec.msgpack.decode(path.read_bytes(), type=Identity)
     folder.mkdir(parents=True, exist_ok=True)
-    identity = Identity(secrets.token_hex(_DISK_BYTES))
+    identity = Identity(secrets.token_hex(_DISK_ID_BYTES))
     segments.write_file(path, msgspec.msgpack.encode(identity))
     return identity
--- a/src/carobfork/storage/groups.py
+++ b/src/carobfork/storage/groups.py
@@ -40,20 +40,22 @@
     driver: str = ''
     leaving: tuple[str, ...] = ()
 
-    def everyone(self) -> dict[str, Member]:
+    def all_members(self) -> dict[str, Member]:
         """Return old and new members by their disks."""
         return {
             member.disk: member for member in (*self.members, *self.following)
         }
 
-    def by_node(self, node: str) -> Member | None:
+    def member_on_node(self, node: str) -> Member | None:
         """Return the member on a node, if any."""
         for member in self.members:
             if member.node == node:
                 return member
         return None
 
-    def join(self, joiner: Member, replaced: Member | None = None) -> 'Group':
+    def start_join(
+        self, joiner: Member, replaced: Member | None = None
+    ) -> 'Group':
         """Return this group with a host that begins to take part.
 
         :param replaced: the member that it takes the place of.
@@ -66,7 +68,7 @@
             driver=joiner.disk,
         )
 
-    def shrink(self, leaver: Member) -> 'Group':
+    def start_shrink(self, leaver: Member) -> 'Group':
         """Return this group as it begins to do without a member."""
         return attrs.evolve(
             self,
@@ -77,7 +79,7 @@
             driver=leaver.disk,
         )
 
-    def complete(self) -> 'Group':
+    def complete_change(self) -> 'Group':
         """Return this group with its change done."""
         nodes = {member.node for member in self.following}
         return attrs.evolve(
@@ -89,17 +91,17 @@
             leaving=tuple(node for node in self.leaving if node in nodes),
         )
 
-    def cancel(self) -> 'Group':
+    def cancel_change(self) -> 'Group':
         """Return this group with its change given up."""
         return attrs.evolve(self, epoch=self.epoch + 1, following=(), driver='')
 
-    def leave(self, node: str) -> 'Group':
+    def request_leave(self, node: str) -> 'Group':
         """Return this group as it asks for a member's replacement."""
         return attrs.evolve(
             self, epoch=self.epoch + 1, leaving=(*self.leaving, node)
         )
 
-    def holds(self, disk: str) -> bool:
+    def has_member_disk(self, disk: str) -> bool:
         """Tell whether a disk belongs to a member before the change."""
         return any(member.disk == disk for member in self.members)
 
@@ -133,39 +135,41 @@
     group: Group
     losses: int
 
-    def is_written(self, disks: set[str]) -> bool:
+    def is_write_quorum(self, disks: set[str]) -> bool:
         """Tell whether these disks make a record permanent."""
         return all(
-            _count(members, disks) >= write_quorum(len(members), self.losses)
-            for members in self._views()
+            _count_members(members, disks)
+            >= write_quorum(len(members), self.losses)
+            for members in self._member_sets()
         )
 
-    def is_read(self, disks: set[str]) -> bool:
+    def is_read_quorum(self, disks: set[str]) -> bool:
         """Tell whether these disks hold each acknowledged record."""
         return all(
-            _count(members, disks) >= read_quorum(len(members), self.losses)
-            for members in self._views()
+            _count_members(members, disks)
+            >= read_quorum(len(members), self.losses)
+            for members in self._member_sets()
         )
 
     def is_lost(self, failed: set[str]) -> bool:
         """Tell whether a write can't succeed any more."""
         return any(
-            len(members) - _count(members, failed)
+            len(members) - _count_members(members, failed)
             < write_quorum(len(members), self.losses)
-            for members in self._views()
+            for members in self._member_sets()
         )
 
-    def _views(self) -> list[tuple[Member, ...]]:
+    def _member_sets(self) -> list[tuple[Member, ...]]:
         if self.group.following:
             return [self.group.members, self.group.following]
         return [self.group.members]
 
 
-def _count(members: tuple[Member, ...], disks: set[str]) -> int:
+def _count_members(members: tuple[Member, ...], disks: set[str]) -> int:
     return sum(member.disk in disks for member in members)
 
 
-def place_for(
+def plan_join(
     group: Group, node: str, lost_disks: set[str], losses: int
 ) -> tuple[bool, Member | None]:
     """Tell whether a host outside may join, and whom it replaces.
@@ -173,9 +177,9 @@
     :param node: the host that asks.
     :param lost_disks: members that don't answer.
     """
-    wiped = group.by_node(node)
-    if wiped is not None:
-        return True, wiped
+    previous_member = group.member_on_node(node)
+    if previous_member is not None:
+        return True, previous_member
     if len(group.members) < target_size(losses):
         return True, None
     for member in group.members:
--- a/src/carobfork/storage/links.py
+++ b/src/carobfork/storage/links.py
@@ -24,48 +24,48 @@
 
 CONNECT_TIMEOUT_MS = 500
 """Several round trips between failure domains, with room for a lost packet."""
-BEAT_MS = 250
+HEARTBEAT_INTERVAL_MS = 250
 """Of links that carry news: a dead peer shows within a few beats."""
-BUSY_BEAT_MS = 100
+BUSY_HEARTBEAT_INTERVAL_MS = 100
 """Of links that carry news while calls wait: less than half a short turn."""
-CALM_BEAT_MS = 1000
+IDLE_HEARTBEAT_INTERVAL_MS = 1000
 """Of other links: a beat at the end of another link shows a loss earlier."""
-SILENCE_MS = 650
+SILENCE_TIMEOUT_MS = 650
 """Beyond the next beat: two more beats without an answer."""
-PROBE_MS = 400
+PROBE_TIMEOUT_MS = 400
 """A peer that answers a probe no sooner is gone: many round trips."""
-RECONNECT_MS = 150
-OPENING_POLL_MS = 5
-USER_TIMEOUT_MS = 1000
+RECONNECT_INTERVAL_MS = 150
+OPENING_POLL_INTERVAL_MS = 5
+TCP_USER_TIMEOUT_MS = 1000
 """For unacknowledged bytes in the kernel, in case no beat is waiting."""
 _READ_BYTES = 262_144
 
 logger = structlog.get_logger(part='links')
 
-Callback = Callable[[Any], None]
+ReplyCallback = Callable[[Any], None]
 
 
-def _every_beat(_member: groups.Member) -> float:
-    return BEAT_MS
+def _default_interval_ms(_member: groups.Member) -> float:
+    return HEARTBEAT_INTERVAL_MS
 
 
 @attrs.frozen
-class Beats:
+class Heartbeats:
     """What links send regularly.
 
     :param compose: returns the message to a member.
     :param take: takes a member and its answer.
-    :param pace_ms: returns the time until the next beat to a member.
+    :param interval_ms: returns the time until the next beat to a member.
     """
 
     compose: Callable[[groups.Member], Any]
-    take: Callable[[groups.Member, Any], None]
-    pace_ms: Callable[[groups.Member], float] = _every_beat
+    on_reply: Callable[[groups.Member, Any], None]
+    interval_ms: Callable[[groups.Member], float] = _default_interval_ms
 
-    def deliver(self, member: groups.Member, reply: Any) -> None:
+    def handle_reply(self, member: groups.Member, reply: Any) -> None:
         """Take an answer, if there is one."""
         if reply is not None:
-            self.take(member, reply)
+            self.on_reply(member, reply)
 
 
 class Link:
@@ -73,31 +73,31 @@
 
     :param member: the host.
     :param timer: measures silences.
-    :param beats: what is sent regularly.
-    :param on_end: called when the connection has ended.
+    :param heartbeats: what is sent regularly.
+    :param on_disconnect: called when the connection has ended.
     """
 
     def __init__(
         self,
         member: groups.Member,
         timer: clock.Clock,
-        beats: Beats,
-        on_end: Callable[[], None],
+        heartbeats: Heartbeats,
+        on_disconnect: Callable[[], None],
     ) -> None:
         """Prepare the link; entering it connects."""
         self.member = member
         self.epoch = 0
-        self.heard_ms = timer.now_ms()
+        self.last_received_ms = timer.now_ms()
         self.is_connected = False
         self.is_opening = True
         self._timer = timer
-        self._beats = beats
-        self._on_end = on_end
-        self._hurried = event.Event()
-        self._numbers = itertools.count(1)
-        self._waiting: dict[int, Callback] = {}
+        self._heartbeats = heartbeats
+        self._on_disconnect = on_disconnect
+        self._probe_requested = event.Event()
+        self._request_numbers = itertools.count(1)
+        self._reply_callbacks: dict[int, ReplyCallback] = {}
         self._outgoing: collections.deque[bytes] = collections.deque()
-        self._wakened = event.Event()
+        self._has_outgoing = event.Event()
         self._runner: gevent.Greenlet | None = None
 
     def __enter__(self) -> 'Link':
@@ -117,9 +117,9 @@
 
     def silent_ms(self) -> float:
         """Return for how long nothing was heard."""
-        return self._timer.now_ms() - self.heard_ms
+        return self._timer.now_ms() - self.last_received_ms
 
-    def ask(self, message: Any, on_reply: Callback) -> None:
+    def send_request(self, message: Any, on_reply: ReplyCallback) -> None:
         """Send a request.
 
         :param on_reply: called once, with the answer, or with nothing where
@@ -128,16 +128,16 @@
         if not self.is_connected:
             on_reply(None)
             return
-        number = next(self._numbers)
-        self._waiting[number] = on_reply
+        number = next(self._request_numbers)
+        self._reply_callbacks[number] = on_reply
         envelope = messages.Envelope(number, self.epoch, message)
         self._outgoing.append(messages.encode(envelope))
-        self._wakened.set()
+        self._has_outgoing.set()
 
-    def hurry(self) -> None:
+    def probe(self) -> None:
         """Send the next beat now; end the link where nothing answers it."""
         if self.is_connected:
-            self._hurried.set()
+            self._probe_requested.set()
 
     def request(self, message: Any, timeout_ms: float) -> Any:
         """Send a request and return its answer.
@@ -145,7 +145,7 @@
         :raises ConnectionFailedError: none came in time.
         """
         inbox: queue.Queue = queue.Queue()
-        self.ask(message, inbox.put)
+        self.send_request(message, inbox.put)
         reply = None
         try:
             reply = inbox.get(timeout=clock.to_seconds(timeout_ms))
@@ -166,125 +166,129 @@
                     'link failed', peer=self.member.node, reason=str(error)
                 )
             self.is_opening = False
-            gevent.sleep(clock.to_seconds(RECONNECT_MS))
+            gevent.sleep(clock.to_seconds(RECONNECT_INTERVAL_MS))
 
     def _connect_and_serve(self) -> None:
-        connected = socket.create_connection(
+        sock = socket.create_connection(
             (self.member.ip, self.member.port),
             timeout=clock.to_seconds(CONNECT_TIMEOUT_MS),
         )
-        helpers: list[gevent.Greenlet] = []
+        greenlets: list[gevent.Greenlet] = []
         try:
-            self._begin(connected)
-            helpers.append(gevent.spawn(self._write, connected))
-            helpers.append(gevent.spawn(self._send_beats, connected))
-            self._read(connected)
+            self._handle_connect(sock)
+            greenlets.append(gevent.spawn(self._write, sock))
+            greenlets.append(gevent.spawn(self._send_heartbeats, sock))
+            self._read(sock)
         finally:
-            gevent.killall(helpers, block=False)
-            connected.close()
-            self._end()
+            gevent.killall(greenlets, block=False)
+            sock.close()
+            self._handle_disconnect()
 
-    def _begin(self, connected: socket.socket) -> None:
-        prepare(connected)
+    def _handle_connect(self, sock: socket.socket) -> None:
+        configure_socket(sock)
         self._outgoing.clear()
         self.is_opening = False
         self.is_connected = True
-        self.heard_ms = self._timer.now_ms()
+        self.last_received_ms = self._timer.now_ms()
         logger.info('link is up', peer=self.member.node)
 
-    def _end(self) -> None:
+    def _handle_disconnect(self) -> None:
         if self.is_connected:
             logger.info(
                 'link is down',
                 peer=self.member.node,
                 silent_ms=round(self.silent_ms()),
-                waiting=len(self._waiting),
+                waiting=len(self._reply_callbacks),
             )
         self.is_connected = False
-        waiting = list(self._waiting.values())
-        self._waiting.clear()
-        for on_reply in waiting:
+        reply_callbacks = list(self._reply_callbacks.values())
+        self._reply_callbacks.clear()
+        for on_reply in reply_callbacks:
             on_reply(None)
-        self._on_end()
+        self._on_disconnect()
 
-    def _read(self, connected: socket.socket) -> None:
+    def _read(self, sock: socket.socket) -> None:
         buffered = bytearray()
         while True:
-            silence_ms = self._beats.pace_ms(self.member) + SILENCE_MS
-            connected.settimeout(clock.to_seconds(silence_ms))
-            received = connected.recv(_READ_BYTES)
+            silence_ms = (
+                self._heartbeats.interval_ms(self.member) + SILENCE_TIMEOUT_MS
+            )
+            sock.settimeout(clock.to_seconds(silence_ms))
+            received = sock.recv(_READ_BYTES)
             if not received:
                 return
-            self.heard_ms = self._timer.now_ms()
+            self.last_received_ms = self._timer.now_ms()
             buffered.extend(received)
-            for frame in messages.take_frames(buffered):
-                self._deliver(messages.decode(frame))
+            for frame in messages.pop_frames(buffered):
+                self._dispatch_reply(messages.decode(frame))
 
-    def _deliver(self, envelope: messages.Envelope) -> None:
-        on_reply = self._waiting.pop(envelope.number, None)
+    def _dispatch_reply(self, envelope: messages.Envelope) -> None:
+        on_reply = self._reply_callbacks.pop(envelope.number, None)
         if on_reply is not None:
             on_reply(envelope.message)
 
-    def _write(self, connected: socket.socket) -> None:
+    def _write(self, sock: socket.socket) -> None:
         while True:
-            self._wakened.wait()
-            self._wakened.clear()
+            self._has_outgoing.wait()
+            self._has_outgoing.clear()
             batch = b''.join(self._outgoing)
             self._outgoing.clear()
             try:
-                connected.sendall(batch)
+                sock.sendall(batch)
             except OSError:
                 # The reader reports the failure and ends the link.
-                connected.close()
+                sock.close()
                 return
 
-    def _send_beats(self, connected: socket.socket) -> None:
+    def _send_heartbeats(self, sock: socket.socket) -> None:
         while True:
-            self.ask(
-                self._beats.compose(self.member),
-                functools.partial(self._beats.deliver, self.member),
+            self.send_request(
+                self._heartbeats.compose(self.member),
+                functools.partial(self._heartbeats.handle_reply, self.member),
             )
-            if self._hurried.is_set():
-                self._hurried.clear()
+            if self._probe_requested.is_set():
+                self._probe_requested.clear()
                 gevent.spawn_later(
-                    clock.to_seconds(PROBE_MS), self._end_if_silent, connected
+                    clock.to_seconds(PROBE_TIMEOUT_MS),
+                    self._close_if_silent,
+                    sock,
                 )
-            self._hurried.wait(
-                clock.to_seconds(self._beats.pace_ms(self.member))
+            self._probe_requested.wait(
+                clock.to_seconds(self._heartbeats.interval_ms(self.member))
             )
 
-    def _end_if_silent(self, connected: socket.socket) -> None:
-        if self.silent_ms() >= PROBE_MS:
+    def _close_if_silent(self, sock: socket.socket) -> None:
+        if self.silent_ms() >= PROBE_TIMEOUT_MS:
             # The reader meets the closed connection and ends the link.
-            connected.close()
+            sock.close()
 
 
-def prepare(connected: socket.socket) -> None:
+def configure_socket(sock: socket.socket) -> None:
     """Set what every connection between hosts needs."""
-    connected.setsockopt(sockets.IPPROTO_TCP, sockets.TCP_NODELAY, 1)
-    connected.setsockopt(
-        sockets.IPPROTO_TCP, sockets.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
+    sock.setsockopt(sockets.IPPROTO_TCP, sockets.TCP_NODELAY, 1)
+    sock.setsockopt(
+        sockets.IPPROTO_TCP, sockets.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS
     )
 
 
-def ask_once(address: tuple[str, int], message: Any) -> Any:
+def request_once(address: tuple[str, int], message: Any) -> Any:
     """Ask a host on a connection of its own.
 
     :raises OSError: it can't be reached or does not answer in time.
     :raises BadRequestError: its answer is malformed.
     """
     timeout_seconds = clock.to_seconds(CONNECT_TIMEOUT_MS)
-    connected = socket.create_connection(address, timeout=timeout_seconds)
-    with contextlib.closing(connected):
-        connected.sendall(messages.encode(messages.Envelope(1, 0, message)))
+    sock = socket.create_connection(address, timeout=timeout_seconds)
+    with contextlib.closing(sock):
+        sock.sendall(messages.encode(messages.Envelope(1, 0, message)))
         buffered = bytearray()
         frames: list[bytes] = []
         while not frames:
-            received = connected.recv(_READ_BYTES)
+            received = sock.recv(_READ_BYTES)
             if not received:
                 raise ConnectionResetError('the host closed the connection')
             buffered.extend(received)
-            frames = messages.take_frames(buffered)
+            frames = messages.pop_frames(buffered)
     return messages.decode(frames[0]).message
 
 
@@ -292,22 +296,22 @@
     """Links to the members of a group, opened and closed as it changes.
 
     :param timer: measures silences.
-    :param beats: what is sent regularly.
+    :param heartbeats: what is sent regularly.
     """
 
-    def __init__(self, timer: clock.Clock, beats: Beats) -> None:
+    def __init__(self, timer: clock.Clock, heartbeats: Heartbeats) -> None:
         """Start without links.
 
         :ivar changed_ms: when the last link ended, or at the start.
         """
         self._timer = timer
-        self.changed_ms = timer.now_ms()
-        self._beats = beats
+        self.last_disconnect_ms = timer.now_ms()
+        self._heartbeats = heartbeats
         self._links: dict[str, Link] = {}
 
     def apply(self, group: groups.Group, own_disk: str = '') -> None:
         """Keep links to the group's hosts, apart from the own one."""
-        wanted = group.everyone()
+        wanted = group.all_members()
         wanted.pop(own_disk, None)
         for disk in self._links.keys() - wanted.keys():
             self._links.pop(disk).__exit__(None, None, None)
@@ -319,7 +323,7 @@
     def wait_for_opening(self) -> None:
         """Wait until the first attempt of each link to connect is over."""
         while any(link.is_opening for link in self._links.values()):
-            gevent.sleep(clock.to_seconds(OPENING_POLL_MS))
+            gevent.sleep(clock.to_seconds(OPENING_POLL_INTERVAL_MS))
 
     def get(self, disk: str) -> Link | None:
         """Return the link to a disk's host, if there is one."""
@@ -341,10 +345,10 @@
         """Return the disks whose hosts can be asked now."""
         return {disk for disk, link in self._links.items() if link.is_connected}
 
-    def hurry(self) -> None:
+    def probe(self) -> None:
         """Ask all hosts for news, and whether they are still there."""
         for link in self.all():
-            link.hurry()
+            link.probe()
 
     def close(self) -> None:
         """Close all links."""
@@ -352,10 +356,10 @@
 
     def _open(self, member: groups.Member) -> Link:
         return Link(
-            member, self._timer, self._beats, self._note_end
+            member, self._timer, self._heartbeats, self._handle_disconnect
         ).__enter__()
 
-    def _note_end(self) -> None:
+    def _handle_disconnect(self) -> None:
         """Look at once whether other links have ended, too."""
-        self.changed_ms = self._timer.now_ms()
-        self.hurry()
+        self.last_disconnect_ms = self._timer.now_ms()
+        self.probe()
--- a/src/carobfork/storage/listeners.py
+++ b/src/carobfork/storage/listeners.py
@@ -8,7 +8,7 @@
 from gevent import server, socket
 
 from carobfork import exceptions
-from carobfork.storage import keepers, links, messages
+from carobfork.storage import links, messages, replicas
 
 _READ_BYTES = 262_144
 WRITE_TIMEOUT_SECONDS = 5
@@ -21,16 +21,16 @@
     """Serve a keeper to entry hosts and other store hosts.
 
     :param address: where to listen.
-    :param keeper: carries the requests out.
+    :param replica: carries the requests out.
     """
 
     def __init__(
-        self, address: tuple[str, int], keeper: keepers.Keeper
+        self, address: tuple[str, int], replica: replicas.Replica
     ) -> None:
         """Prepare the listener."""
-        self._keeper = keeper
+        self._replica = replica
         self._server = server.StreamServer(address, self._serve)
-        self._open: set[socket.socket] = set()
+        self._open_sockets: set[socket.socket] = set()
 
     def start(self) -> None:
         """Begin to listen."""
@@ -39,53 +39,53 @@
     def stop(self) -> None:
         """Close the listener and its connections."""
         self._server.stop(timeout=0)
-        for sock in self._open:
+        for sock in self._open_sockets:
             with contextlib.suppress(OSError):
                 sock.shutdown(sockets.SHUT_RDWR)
 
     def _serve(self, sock: socket.socket, address: tuple) -> None:
-        links.prepare(sock)
+        links.configure_socket(sock)
         sock.settimeout(None)
-        outgoing = _Outgoing(sock)
-        self._open.add(sock)
+        writer = _ReplyWriter(sock)
+        self._open_sockets.add(sock)
         try:
-            self._read(sock, outgoing)
+            self._read(sock, writer)
         except (OSError, exceptions.BadRequestError) as error:
             logger.info('link broke', peer=address[0], reason=str(error))
         finally:
-            self._open.discard(sock)
-            outgoing.close()
+            self._open_sockets.discard(sock)
+            writer.close()
             sock.close()
 
-    def _read(self, sock: socket.socket, outgoing: '_Outgoing') -> None:
+    def _read(self, sock: socket.socket, writer: '_ReplyWriter') -> None:
         buffered = bytearray()
         while True:
             received = sock.recv(_READ_BYTES)
             if not received:
                 return
             buffered.extend(received)
-            for frame in messages.take_frames(buffered):
+            for frame in messages.pop_frames(buffered):
                 envelope = messages.decode(frame)
-                self._keeper.receive(
-                    envelope, outgoing.replier(envelope.number)
+                self._replica.receive(
+                    envelope, writer.reply_callback(envelope.number)
                 )
 
 
-class _Outgoing:
+class _ReplyWriter:
     """Answers of one connection, in the order in which they are ready."""
 
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
-        self._frames: list[bytes] = []
+        self._pending_frames: list[bytes] = []
         self._writer: gevent.Greenlet | None = None
         self._is_closed = False
 
-    def replier(self, number: int):
+    def reply_callback(self, number: int):
         """Return what sends the answer to a request."""
 
         def reply(message) -> None:  # noqa: WPS430
             envelope = messages.Envelope(number, 0, message)
-            self._frames.append(messages.encode(envelope))
+            self._pending_frames.append(messages.encode(envelope))
             if self._writer is None and not self._is_closed:
                 self._writer = gevent.spawn(self._write)
 
@@ -98,9 +98,9 @@
             self._writer.kill(block=False)
 
     def _write(self) -> None:
-        while self._frames:
-            batch = b''.join(self._frames)
-            self._frames.clear()
+        while self._pending_frames:
+            batch = b''.join(self._pending_frames)
+            self._pending_frames.clear()
             try:
                 with gevent.Timeout(WRITE_TIMEOUT_SECONDS):
                     self._sock.sendall(batch)
--- a/src/carobfork/storage/memberships.py
+++ b/src/carobfork/storage/memberships.py
@@ -13,17 +13,17 @@
 import structlog
 
 from carobfork import clock, exceptions
-from carobfork.storage import groups, keepers, links, messages
+from carobfork.storage import groups, links, messages, replicas
 
-STEP_MS = 200
+STEP_INTERVAL_MS = 200
 """Between looks at the group: well under the time to be complete again."""
-LOST_MS = 1500
+MEMBER_TIMEOUT_MS = 1500
 """A member silent for so long may be replaced where a host is free."""
-ABANDONED_MS = 2500
+DRIVER_TIMEOUT_MS = 2500
 """A change whose driver is silent for so long is given up."""
-FETCH_MS = 1500
-ADOPT_MS = 700
-SHRINK_AFTER_MS = 3000
+FETCH_TIMEOUT_MS = 1500
+ADOPT_TIMEOUT_MS = 700
+SHRINK_DELAY_MS = 3000
 """How long a member to be emptied waits for a free host."""
 
 logger = structlog.get_logger(part='membership')
@@ -48,43 +48,46 @@
 class Membership:
     """Carry one store host through its group.
 
-    :param me: this host.
-    :param keeper: its records.
+    :param own_member: this host.
+    :param replica: its records.
     :param register: the group's specification.
-    :param linked: links to the members.
+    :param member_links: links to the members.
     :param losses: disks that may be lost at a time.
     :param is_retiring: tells whether this host is to be emptied.
     """
 
     def __init__(
         self,
-        me: groups.Member,
-        keeper: keepers.Keeper,
+        own_member: groups.Member,
+        replica: replicas.Replica,
         register: GroupRegister,
-        linked: links.Links,
+        member_links: links.Links,
         losses: int,
         is_retiring: Callable[[], bool],
     ) -> None:
         """Start outside the group."""
-        self._me = me
-        self._keeper = keeper
+        self._own_member = own_member
+        self._replica = replica
         self._register = register
-        self._links = linked
+        self._links = member_links
         self._losses = losses
         self._is_retiring = is_retiring
         self._timer = clock.SystemClock()
-        self._leaving_since_ms = 0
+        self._leave_requested_ms = 0
 
     @property
     def disk(self) -> str:
         """The own disk."""
-        return self._me.disk
+        return self._own_member.disk
 
     @property
     def is_outside(self) -> bool:
         """Whether the group is known and does without this host."""
         group, _revision = self._register.current()
-        return group is not None and self._me.disk not in group.everyone()
+        return (
+            group is not None
+            and self._own_member.disk not in group.all_members()
+        )
 
     def run(self) -> None:
         """Take steps until the greenlet is killed."""
@@ -93,7 +96,7 @@
                 self.step()
             except exceptions.CarobforkError as error:
                 logger.info('step failed', reason=str(error))
-            gevent.sleep(clock.to_seconds(STEP_MS))
+            gevent.sleep(clock.to_seconds(STEP_INTERVAL_MS))
 
     def step(self) -> None:
         """Do what the group needs next from this host."""
@@ -101,72 +104,76 @@
         if not self._register.is_known():
             return
         if group is None:
-            self._create()
+            self._create_group()
             return
-        self._keeper.adopt(group)
-        self._links.apply(group, self._me.disk)
+        self._replica.adopt(group)
+        self._links.apply(group, self._own_member.disk)
         if group.following:
-            self._advance(group, revision)
-        elif group.holds(self._me.disk):
-            self._stay(group, revision)
+            self._advance_change(group, revision)
+        elif group.has_member_disk(self._own_member.disk):
+            self._leave_if_retiring(group, revision)
         else:
-            self._enter(group, revision)
+            self._try_join(group, revision)
 
-    def _create(self) -> None:
+    def _create_group(self) -> None:
         if self._is_retiring():
             return
-        self._keeper.disk.mark(is_complete=True)
-        logger.info('creating the storage group', node=self._me.node)
-        self._register.write(groups.Group(1, (self._me,)), 0)
+        self._replica.disk.save_completeness(is_complete=True)
+        logger.info('creating the storage group', node=self._own_member.node)
+        self._register.write(groups.Group(1, (self._own_member,)), 0)
 
-    def _enter(self, group: groups.Group, revision: int) -> None:
+    def _try_join(self, group: groups.Group, revision: int) -> None:
         if self._is_retiring():
             return
-        lost = self._links.silent_disks(LOST_MS)
-        may_join, replaced = groups.place_for(
-            group, self._me.node, lost, self._losses
+        silent_disks = self._links.silent_disks(MEMBER_TIMEOUT_MS)
+        may_join, replaced = groups.plan_join(
+            group, self._own_member.node, silent_disks, self._losses
         )
         if may_join:
-            self._keeper.disk.mark(is_complete=False)
+            self._replica.disk.save_completeness(is_complete=False)
             logger.info(
                 'joining the storage group',
                 epoch=group.epoch,
                 replaced=replaced.node if replaced else '',
             )
-            self._register.write(group.join(self._me, replaced), revision)
+            self._register.write(
+                group.start_join(self._own_member, replaced), revision
+            )
 
-    def _stay(self, group: groups.Group, revision: int) -> None:
+    def _leave_if_retiring(self, group: groups.Group, revision: int) -> None:
         if not self._is_retiring():
             return
-        if self._me.node not in group.leaving:
-            self._leaving_since_ms = self._timer.now_ms()
-            self._register.write(group.leave(self._me.node), revision)
+        if self._own_member.node not in group.leaving:
+            self._leave_requested_ms = self._timer.now_ms()
+            self._register.write(
+                group.request_leave(self._own_member.node), revision
+            )
             return
-        waited_ms = self._timer.now_ms() - self._leaving_since_ms
+        waited_ms = self._timer.now_ms() - self._leave_requested_ms
         if (
-            waited_ms > SHRINK_AFTER_MS
+            waited_ms > SHRINK_DELAY_MS
             and len(group.members) > self._losses + 1
         ):
             logger.info('shrinking the storage group', epoch=group.epoch)
-            self._register.write(group.shrink(self._me), revision)
+            self._register.write(group.start_shrink(self._own_member), revision)
 
-    def _advance(self, group: groups.Group, revision: int) -> None:
-        if group.driver != self._me.disk:
+    def _advance_change(self, group: groups.Group, revision: int) -> None:
+        if group.driver != self._own_member.disk:
             driver = self._links.get(group.driver)
-            if driver is None or driver.silent_ms() > ABANDONED_MS:
+            if driver is None or driver.silent_ms() > DRIVER_TIMEOUT_MS:
                 logger.info('giving a change up', epoch=group.epoch)
-                self._register.write(group.cancel(), revision)
+                self._register.write(group.cancel_change(), revision)
             return
-        if group.holds(self._me.disk):
-            is_done = self._hand_over(group)
+        if group.has_member_disk(self._own_member.disk):
+            is_done = self._transfer_records(group)
         else:
-            is_done = self._copy(group)
+            is_done = self._copy_records(group)
         if is_done:
-            self._register.write(group.complete(), revision)
+            self._register.write(group.complete_change(), revision)
 
-    def _copy(self, group: groups.Group) -> bool:
+    def _copy_records(self, group: groups.Group) -> bool:
         """Copy all records here; tell whether enough members gave theirs."""
-        sources = self._adopters(group)
+        sources = self._announce_change(group)
         done: set[str] = set()
         for link in sources:
             if self._copy_from(link):
@@ -174,75 +181,79 @@
         needed = groups.read_quorum(len(group.members), self._losses)
         if len(done) < needed:
             return False
-        self._keeper.ledger.relink()
-        self._keeper.disk.mark(is_complete=True)
+        self._replica.index.propagate_retention()
+        self._replica.disk.save_completeness(is_complete=True)
         return True
 
     def _copy_from(self, link: links.Link) -> bool:
         copied = 0
-        for records in _pages(link):
+        for records in _read_pages(link):
             if records is None:
                 return False
-            self._keeper.store(records)
+            self._replica.import_records(records)
             copied += len(records)
         logger.info('copied', peer=link.member.node, records=copied)
         return True
 
-    def _adopters(self, group: groups.Group) -> list[links.Link]:
+    def _announce_change(self, group: groups.Group) -> list[links.Link]:
         """Return links to the old members that know of the change."""
-        adopters = []
+        reached = []
         for member in group.members:
             link = self._links.get(member.disk)
             if link is None or not link.is_connected:
                 continue
             try:
-                link.request(messages.Adopt(group), ADOPT_MS)
+                link.request(messages.Adopt(group), ADOPT_TIMEOUT_MS)
             except exceptions.ConnectionFailedError as error:
                 logger.info('member not reached', reason=str(error))
                 continue
-            adopters.append(link)
-        return adopters
+            reached.append(link)
+        return reached
 
-    def _hand_over(self, group: groups.Group) -> bool:
+    def _transfer_records(self, group: groups.Group) -> bool:
         """Give all records to those who stay; tell whether all have them."""
-        adopters = {link.member.disk for link in self._adopters(group)}
-        stay = {member.disk for member in group.following}
-        if not stay <= adopters:
+        reached = {link.member.disk for link in self._announce_change(group)}
+        remaining = {member.disk for member in group.following}
+        if not remaining <= reached:
             return False
-        return all(self._fill(disk, adopters) for disk in stay)
+        return all(self._send_all_records(disk, reached) for disk in remaining)
 
-    def _fill(self, disk: str, sources: set[str]) -> bool:
+    def _send_all_records(self, disk: str, sources: set[str]) -> bool:
         """Give one member the records of this host and of the others."""
         target = self._links.get(disk)
-        if not _give(target, self._own_records()):
+        if not _send_records(target, self._read_own_records()):
             return False
         for source in sources - {disk}:
-            for records in _pages(self._links.get(source)):
-                if records is None or not _give(target, records):
+            for records in _read_pages(self._links.get(source)):
+                if records is None or not _send_records(target, records):
                     return False
         return True
 
-    def _own_records(self) -> list[bytes]:
-        found: list[bytes] = []
-        place = 0
+    def _read_own_records(self) -> list[bytes]:
+        records: list[bytes] = []
+        position = 0
         listing = 0
         while True:
             pages: list[messages.Records] = []
-            self._keeper.fetch(messages.Fetch(place, listing), pages.append)
-            found.extend(pages[0].records)
-            place = pages[0].next_place
+            self._replica.handle_fetch(
+                messages.Fetch(position, listing), pages.append
+            )
+            records.extend(pages[0].records)
+            position = pages[0].next_place
             listing = pages[0].listing
-            if not place:
-                return found
+            if not position:
+                return records
 
 
-def _pages(link: links.Link) -> Iterator[list[bytes] | None]:
+def _read_pages(link: links.Link) -> Iterator[list[bytes] | None]:
     """Yield a member's records; nothing, where it fails or lacks some."""
-    place = 0
+    position = 0
     listing = 0
     while True:
         try:
-            page = link.request(messages.Fetch(place, listing), FETCH_MS)
+            page = link.request(
+                messages.Fetch(position, listing), FETCH_TIMEOUT_MS
+            )
         except exceptions.ConnectionFailedError as error:
             logger.info('records not read', reason=str(error))
             yield None
@@ -252,19 +263,19 @@
             yield None
             return
         yield page.records
-        place = page.next_place
+        position = page.next_place
         listing = page.listing
-        if not place:
+        if not position:
             return
 
 
-def _give(target: links.Link | None, records: list[bytes]) -> bool:
+def _send_records(target: links.Link | None, records: list[bytes]) -> bool:
     if target is None:
         return False
-    for start in range(0, len(records), messages.GIVEN_RECORDS):
-        part = records[start : start + messages.GIVEN_RECORDS]
+    for start in range(0, len(records), messages.MAX_GIVE_RECORDS):
+        batch = records[start : start + messages.MAX_GIVE_RECORDS]
         try:
-            target.request(messages.Give(part), FETCH_MS)
+            target.request(messages.Give(batch), FETCH_TIMEOUT_MS)
         except exceptions.ConnectionFailedError as error:
             logger.info('records not given', reason=str(error))
             return False
--- a/src/carobfork/storage/messages.py
+++ b/src/carobfork/storage/messages.py
@@ -11,23 +11,23 @@
 import msgspec
 
 from carobfork import exceptions
-from carobfork.storage import groups, notes
+from carobfork.storage import groups, snapshots
 
 MAX_FRAME_BYTES = 16_777_216
 """Longest frame: a page of records with the largest body of a request."""
-GIVEN_RECORDS = 64
+MAX_GIVE_RECORDS = 64
 """Records of one hand-over: with the largest bodies, below a frame."""
-_LENGTH = struct.Struct('>I')
-MESSAGES: dict[str, type] = {}  # noqa: WPS407
+_LENGTH_PREFIX = struct.Struct('>I')
+MESSAGE_TYPES: dict[str, type] = {}  # noqa: WPS407
 
-_MALFORMED = (KeyError, TypeError, ValueError, msgspec.MsgspecError)
+_DECODE_ERRORS = (KeyError, TypeError, ValueError, msgspec.MsgspecError)
 Message = TypeVar('Message')
 
 
-def register(kind: type[Message]) -> type[Message]:
+def register(message_type: type[Message]) -> type[Message]:
     """Register a message class."""
-    MESSAGES[kind.__name__] = kind
-    return kind
+    MESSAGE_TYPES[message_type.__name__] = message_type
+    return message_type
 
 
 @register
@@ -145,7 +145,7 @@
     """
 
     group: groups.Group
-    changes: dict[str, notes.Change]
+    changes: dict[str, snapshots.Delta]
     since_outage_ms: float
 
 
@@ -291,11 +291,11 @@
 
 def encode(envelope: Envelope) -> bytes:
     """Return a frame."""
-    kind = type(envelope.message).__name__
+    tag = type(envelope.message).__name__
     payload = msgspec.msgpack.encode(
-        (envelope.number, envelope.epoch, kind, envelope.message)
+        (envelope.number, envelope.epoch, tag, envelope.message)
     )
-    return _LENGTH.pack(len(payload)) + payload
+    return _LENGTH_PREFIX.pack(len(payload)) + payload
 
 
 def decode(payload: bytes) -> Envelope:
@@ -304,30 +304,30 @@
     :raises BadRequestError: it is no message.
     """
     try:
-        number, epoch, kind, fields = msgspec.msgpack.decode(payload)
-        message = msgspec.convert(fields, MESSAGES[kind])
-    except _MALFORMED as error:
+        number, epoch, tag, fields = msgspec.msgpack.decode(payload)
+        message = msgspec.convert(fields, MESSAGE_TYPES[tag])
+    except _DECODE_ERRORS as error:
         raise exceptions.BadRequestError(
             f'this is no message: {error!r}', step='decode'
         ) from error
     return Envelope(number, epoch, message)
 
 
-def take_frames(buffered: bytearray) -> list[bytes]:
+def pop_frames(buffered: bytearray) -> list[bytes]:
     """Take the whole frames out of a buffer.
 
     :raises BadRequestError: a frame is too long.
     """
     frames = []
     start = 0
-    while len(buffered) - start >= _LENGTH.size:
-        length = _LENGTH.unpack_from(buffered, start)[0]
+    while len(buffered) - start >= _LENGTH_PREFIX.size:
+        length = _LENGTH_PREFIX.unpack_from(buffered, start)[0]
         if length > MAX_FRAME_BYTES:
             raise exceptions.BadRequestError('a frame is too long', step='read')
-        begin = start + _LENGTH.size
-        if len(buffered) < begin + length:
+        payload_start = start + _LENGTH_PREFIX.size
+        if len(buffered) < payload_start + length:
             break
-        frames.append(bytes(buffered[begin : begin + length]))
-        start = begin + length
+        frames.append(bytes(buffered[payload_start : payload_start + length]))
+        start = payload_start + length
     del buffered[:start]  # noqa: WPS420
     return frames
--- a/src/carobfork/storage/presences.py
+++ b/src/carobfork/storage/presences.py
@@ -16,37 +16,37 @@
 from carobfork import clock
 from carobfork.storage import messages
 
-FORGET_MS = 1100
+PRESENCE_TTL_MS = 1100
 """Four beats: a host that missed them is down, frozen or cut off."""
-DIRECT_MS = 400
+DIRECT_PRECEDENCE_MS = 400
 """A beat and a half: what was heard directly since stands against reports."""
-SUM_MS = 50
+TOTALS_TTL_MS = 50
 """How long sums are used again: short against the beats that they sum up."""
-_VERSIONS = 1_000_000_000
+_VERSION_RANGE = 1_000_000_000
 
 
 @attrs.frozen
-class _Heard:
-    at_ms: float
+class _Observation:
+    received_ms: float
     presence: messages.Presence
     is_direct: bool
 
 
 @attrs.frozen
-class _Sums:
+class _Totals:
     """Calls of all entry hosts, and of each one as it is counted there."""
 
-    at_ms: float = float('-inf')
+    computed_ms: float = float('-inf')
     in_flight: Mapping[str, int] = attrs.Factory(dict)
     waiting: Mapping[str, int] = attrs.Factory(dict)
     suspects: Mapping[str, int] = attrs.Factory(dict)
-    parts: Mapping[str, messages.Presence] = attrs.Factory(dict)
+    by_node: Mapping[str, messages.Presence] = attrs.Factory(dict)
 
 
-_NOTHING = messages.Presence('', '', '', is_leaving=False)
+_EMPTY_PRESENCE = messages.Presence('', '', '', is_leaving=False)
 
 
-class Presences:
+class PresenceTable:
     """Remember the last word of each entry host.
 
     :param timer: measures ages.
@@ -55,14 +55,14 @@
     def __init__(self, timer: clock.Clock) -> None:
         """Start without hosts."""
         self._timer = timer
-        self._heard: dict[str, _Heard] = {}
+        self._observations: dict[str, _Observation] = {}
         self._hosts: dict[str, tuple[str, str, bool]] = {}
-        self._sums = _Sums()
+        self._totals = _Totals()
         # Random, so that a host which was told by another process of this
         # host's, or by another host, is told again.
-        self._version = random.randrange(_VERSIONS)
+        self._hosts_version = random.randrange(_VERSION_RANGE)
 
-    def note(
+    def record(
         self, presence: messages.Presence, news: messages.News
     ) -> messages.Hosts:
         """Note what a host told and return what it wants to know.
@@ -70,91 +70,97 @@
         :param news: goes into the answer.
         """
         now_ms = self._timer.now_ms()
-        self._heard[presence.node] = _Heard(now_ms, presence, is_direct=True)
-        sums = self._fresh_sums(now_ms)
-        own = sums.parts.get(presence.node, _NOTHING)
-        is_known = presence.hosts_version == self._version
+        self._observations[presence.node] = _Observation(
+            now_ms, presence, is_direct=True
+        )
+        totals = self._current_totals(now_ms)
+        own = totals.by_node.get(presence.node, _EMPTY_PRESENCE)
+        is_known = presence.hosts_version == self._hosts_version
         return messages.Hosts(
-            self._version,
+            self._hosts_version,
             None if is_known else self._hosts,
-            _without(sums.in_flight, own.in_flight),
-            _without(sums.waiting, own.waiting),
+            _subtract(totals.in_flight, own.in_flight),
+            _subtract(totals.waiting, own.waiting),
             news,
-            _without(sums.suspects, dict.fromkeys(own.suspects, 1)),
+            _subtract(totals.suspects, dict.fromkeys(own.suspects, 1)),
         )
 
-    def note_reported(self, presences: Iterable[messages.Presence]) -> None:
+    def record_reported(self, presences: Iterable[messages.Presence]) -> None:
         """Note what another store host heard."""
         now_ms = self._timer.now_ms()
         for presence in presences:
-            known = self._heard.get(presence.node)
-            is_heard_here = (
+            known = self._observations.get(presence.node)
+            has_recent_direct = (
                 known is not None
                 and known.is_direct
-                and now_ms - known.at_ms <= DIRECT_MS
+                and now_ms - known.received_ms <= DIRECT_PRECEDENCE_MS
             )
-            if not is_heard_here:
-                self._heard[presence.node] = _Heard(
+            if not has_recent_direct:
+                self._observations[presence.node] = _Observation(
                     now_ms, presence, is_direct=False
                 )
 
-    def direct(self) -> list[messages.Presence]:
+    def recent_direct(self) -> list[messages.Presence]:
         """Return what was heard from entry hosts themselves lately."""
         now_ms = self._timer.now_ms()
         return [
-            heard.presence
-            for heard in self._heard.values()
-            if heard.is_direct and now_ms - heard.at_ms <= DIRECT_MS
+            observation.presence
+            for observation in self._observations.values()
+            if observation.is_direct
+            and now_ms - observation.received_ms <= DIRECT_PRECEDENCE_MS
         ]
 
-    def has_waiting(self) -> bool:
+    def has_waiting_calls(self) -> bool:
         """Tell whether calls wait at any entry host."""
-        return bool(self._fresh_sums(self._timer.now_ms()).waiting)
-
-    def _fresh_sums(self, now_ms: float) -> _Sums:
-        if now_ms - self._sums.at_ms > SUM_MS:
-            self._forget(now_ms)
-            parts = {
-                node: heard.presence for node, heard in self._heard.items()
+        return bool(self._current_totals(self._timer.now_ms()).waiting)
+
+    def _current_totals(self, now_ms: float) -> _Totals:
+        if now_ms - self._totals.computed_ms > TOTALS_TTL_MS:
+            self._expire(now_ms)
+            by_node = {
+                node: observation.presence
+                for node, observation in self._observations.items()
             }
-            self._sums = _Sums(
+            self._totals = _Totals(
                 now_ms,
-                _total(told.in_flight for told in parts.values()),
-                _total(told.waiting for told in parts.values()),
+                _sum_counts(
+                    presence.in_flight for presence in by_node.values()
+                ),
+                _sum_counts(presence.waiting for presence in by_node.values()),
                 collections.Counter(
                     itertools.chain.from_iterable(
-                        told.suspects for told in parts.values()
+                        presence.suspects for presence in by_node.values()
                     )
                 ),
-                parts,
+                by_node,
             )
-        return self._sums
+        return self._totals
 
-    def _forget(self, now_ms: float) -> None:
-        for node, heard in list(self._heard.items()):
-            if now_ms - heard.at_ms > FORGET_MS:
-                self._heard.pop(node)
+    def _expire(self, now_ms: float) -> None:
+        for node, observation in list(self._observations.items()):
+            if now_ms - observation.received_ms > PRESENCE_TTL_MS:
+                self._observations.pop(node)
         hosts = {
             node: (
-                heard.presence.address,
-                heard.presence.zone,
-                heard.presence.is_leaving,
+                observation.presence.address,
+                observation.presence.zone,
+                observation.presence.is_leaving,
             )
-            for node, heard in self._heard.items()
+            for node, observation in self._observations.items()
         }
         if hosts != self._hosts:
             self._hosts = hosts
-            self._version += 1
+            self._hosts_version += 1
 
 
-def _total(parts: Iterable[Mapping[str, int]]) -> dict[str, int]:
+def _sum_counts(parts: Iterable[Mapping[str, int]]) -> dict[str, int]:
     totals: collections.Counter[str] = collections.Counter()
     for part in parts:
         totals.update(part)
     return dict(totals)
 
 
-def _without(
+def _subtract(
     totals: Mapping[str, int], own: Mapping[str, int]
 ) -> dict[str, int]:
     """Return sums less one host's part, without zeros."""
--- a/src/carobfork/storage/ledgers.py
+++ b/src/carobfork/storage/record_indexes.py
@@ -12,9 +12,9 @@
 from carobfork import clock
 from carobfork.storage import messages, segments
 
-MARGIN_MS = 20_000
+RETENTION_MARGIN_MS = 20_000
 """Kept beyond their time: steps of the time of day, and requests under way."""
-MAX_CHAIN = 512
+MAX_CHAIN_TURNS = 512
 """Longest chain that is followed: bounds the work of one request."""
 
 
@@ -31,23 +31,23 @@
 
 
 @attrs.define
-class _KeptTurn:
+class _TurnEntry:
     """Where a turn lies and how long it is needed."""
 
     previous: str
-    place: segments.Place | None
+    location: segments.RecordLocation | None
     expires_ms: float
 
 
 @attrs.define
-class _Program:
+class _ProgramCharges:
     """The charges of a program, by attempt."""
 
     charges: dict[str, tuple[int, bool]]
     expires_ms: float
 
 
-class Ledger:
+class RecordIndex:
     """Know all turns and charges that a disk holds.
 
     :param files: the disk's records.
@@ -58,26 +58,26 @@
         """Read the records that the disk holds."""
         self._files = files
         self._timer = timer
-        self._turns: dict[str, _KeptTurn] = {}
-        self._programs: dict[str, _Program] = {}
-        self._needed_until_ms: dict[int, float] = {}
-        for place, record in files.replay():
-            self.apply(decode_record(record), place)
-        self.relink()
-
-    def apply(self, record: Record, place: segments.Place) -> None:
+        self._turns: dict[str, _TurnEntry] = {}
+        self._programs: dict[str, _ProgramCharges] = {}
+        self._segment_expiry_ms: dict[int, float] = {}
+        for location, record in files.replay():
+            self.apply(decode_record(record), location)
+        self.propagate_retention()
+
+    def apply(self, record: Record, location: segments.RecordLocation) -> None:
         """Take a record in that lies at a place."""
-        expires_ms = record.written_ms + record.retain_ms + MARGIN_MS
-        self._need(place.segment, expires_ms)
+        expires_ms = record.written_ms + record.retain_ms + RETENTION_MARGIN_MS
+        self._retain_segment(location.segment, expires_ms)
         if isinstance(record.entry, messages.Charge):
             self._apply_charge(record.entry, expires_ms)
         else:
-            self._turns[record.entry.attempt] = _KeptTurn(
-                record.entry.previous, place, expires_ms
+            self._turns[record.entry.attempt] = _TurnEntry(
+                record.entry.previous, location, expires_ms
             )
-            self._extend_chain(record.entry.previous, expires_ms)
+            self._extend_chain_retention(record.entry.previous, expires_ms)
 
-    def stamp(
+    def new_record(
         self, entry: messages.Charge | messages.Turn, retain_ms: float
     ) -> Record:
         """Return a record of an entry, written now."""
@@ -85,32 +85,32 @@
 
     def charges(self, program: str) -> dict[str, tuple[int, bool]]:
         """Return a program's charges by attempt."""
-        known = self._programs.get(program)
-        return dict(known.charges) if known else {}
+        program_charges = self._programs.get(program)
+        return dict(program_charges.charges) if program_charges else {}
 
-    def knows_charge(self, charge: messages.Charge) -> bool:
+    def has_charge(self, charge: messages.Charge) -> bool:
         """Tell whether a charge would change nothing."""
         known = self.charges(charge.program).get(charge.attempt)
         return known is not None and (known[1] or not charge.is_settled)
 
-    def knows_turn(self, attempt: str) -> bool:
+    def has_turn(self, attempt: str) -> bool:
         """Tell whether a turn is kept."""
         return attempt in self._turns
 
-    def unknown(self, records: list[bytes]) -> list[Record]:
+    def select_unknown(self, records: list[bytes]) -> list[Record]:
         """Return those of other hosts' records that are new here."""
-        fresh = []
+        unknown_records = []
         for record in map(decode_record, records):
             entry = record.entry
             if isinstance(entry, messages.Charge):
-                is_known = self.knows_charge(entry)
+                is_known = self.has_charge(entry)
             else:
-                is_known = self.knows_turn(entry.attempt)
+                is_known = self.has_turn(entry.attempt)
             if not is_known:
-                fresh.append(record)
-        return fresh
+                unknown_records.append(record)
+        return unknown_records
 
-    def chain(self, attempt: str) -> tuple[bytes, str]:
+    def read_chain(self, attempt: str) -> tuple[bytes, str]:
         """Return the bytes of a turn and those before it, oldest first.
 
         :return: as much of the chain as is here, and the name of the first
@@ -118,41 +118,41 @@
         """
         pieces: list[bytes] = []
         name = attempt
-        while name and len(pieces) < MAX_CHAIN:
-            kept = self._turns.get(name)
-            if kept is None:
+        while name and len(pieces) < MAX_CHAIN_TURNS:
+            entry = self._turns.get(name)
+            if entry is None:
                 break
-            turn = decode_record(self._files.read(kept.place)).entry
+            turn = decode_record(self._files.read(entry.location)).entry
             pieces.append(turn.request + turn.events)
-            name = kept.previous
+            name = entry.previous
         return b''.join(reversed(pieces)), name
 
-    def extend(self, attempt: str, retain_ms: float) -> None:
+    def extend_retention(self, attempt: str, retain_ms: float) -> None:
         """Keep a chain for as long as a turn that continues it may last."""
-        expires_ms = self._timer.now_ms() + retain_ms + MARGIN_MS
-        self._extend_chain(attempt, expires_ms)
+        expires_ms = self._timer.now_ms() + retain_ms + RETENTION_MARGIN_MS
+        self._extend_chain_retention(attempt, expires_ms)
 
-    def dump(self) -> Iterator[segments.Place | Record]:
+    def dump(self) -> Iterator[segments.RecordLocation | Record]:
         """Yield what is kept: places of turns, and records of charges."""
         now_ms = self._timer.now_ms()
         for turn in list(self._turns.values()):
-            yield turn.place
+            yield turn.location
         for name, program in list(self._programs.items()):
-            retain_ms = program.expires_ms - MARGIN_MS - now_ms
+            retain_ms = program.expires_ms - RETENTION_MARGIN_MS - now_ms
             for attempt, (tokens, is_settled) in program.charges.items():
                 charge = messages.Charge(
                     name, attempt, tokens, is_settled, retain_ms
                 )
                 yield Record(now_ms, retain_ms, charge)
 
-    def relink(self) -> None:
+    def propagate_retention(self) -> None:
         """Keep all chains as long as their last turns.
 
         Records that were copied come in any order, a turn before the one
         that it continues among them.
         """
         for turn in list(self._turns.values()):
-            self._extend_chain(turn.previous, turn.expires_ms)
+            self._extend_chain_retention(turn.previous, turn.expires_ms)
 
     def expire(self) -> list[int]:
         """Forget what is past its time, and return files not needed."""
@@ -165,11 +165,11 @@
                 self._programs.pop(name)
         unneeded = [
             segment
-            for segment, until_ms in self._needed_until_ms.items()
+            for segment, until_ms in self._segment_expiry_ms.items()
             if until_ms < now_ms and segment != self._files.current
         ]
         for segment in unneeded:
-            self._needed_until_ms.pop(segment)
+            self._segment_expiry_ms.pop(segment)
         return unneeded
 
     def describe(self) -> dict[str, int]:
@@ -178,7 +178,7 @@
 
     def _apply_charge(self, charge: messages.Charge, expires_ms: float) -> None:
         program = self._programs.setdefault(
-            charge.program, _Program({}, expires_ms)
+            charge.program, _ProgramCharges({}, expires_ms)
         )
         program.expires_ms = max(program.expires_ms, expires_ms)
         known = program.charges.get(charge.attempt)
@@ -188,19 +188,19 @@
                 charge.is_settled,
             )
 
-    def _extend_chain(self, attempt: str, expires_ms: float) -> None:
+    def _extend_chain_retention(self, attempt: str, expires_ms: float) -> None:
         name = attempt
         while name:
-            kept = self._turns.get(name)
-            if kept is None or kept.expires_ms >= expires_ms:
+            entry = self._turns.get(name)
+            if entry is None or entry.expires_ms >= expires_ms:
                 return
-            kept.expires_ms = expires_ms
-            self._need(kept.place.segment, expires_ms)
-            name = kept.previous
+            entry.expires_ms = expires_ms
+            self._retain_segment(entry.location.segment, expires_ms)
+            name = entry.previous
 
-    def _need(self, segment: int, until_ms: float) -> None:
-        known_ms = self._needed_until_ms.get(segment, 0)
-        self._needed_until_ms[segment] = max(known_ms, until_ms)
+    def _retain_segment(self, segment: int, expires_ms: float) -> None:
+        known_ms = self._segment_expiry_ms.get(segment, 0)
+        self._segment_expiry_ms[segment] = max(known_ms, expires_ms)
 
 
 def encode_record(record: Record) -> bytes:
@@ -214,5 +214,5 @@
 def decode_record(encoded: bytes) -> Record:
     """Return the record that bytes hold."""
     written_ms, retain_ms, kind, fields = msgspec.msgpack.decode(encoded)
-    entry = msgspec.convert(fields, messages.MESSAGES[kind])
+    entry = msgspec.convert(fields, messages.MESSAGE_TYPES[kind])
     return Record(written_ms, retain_ms, entry)
--- /dev/null
+++ b/src/carobfork/storage/replicas.py
@@ -0,0 +1,215 @@
+"""Keepers: a store host's answers to requests about records."""
+
+from collections.abc import Callable
+from typing import Any
+
+import attrs
+import structlog
+from gevent import event
+
+from carobfork import clock
+from carobfork.storage import (
+    disks,
+    groups,
+    messages,
+    record_indexes,
+    status_exchanges,
+    turn_counters,
+)
+
+PAGE_BYTES = 262_144
+"""Bytes of one page of a copy: a few ms on the slowest link of a store host."""
+
+logger = structlog.get_logger(part='keeper')
+
+ReplyCallback = Callable[[Any], None]
+
+
+class Replica:
+    """Carry out requests about the records of one disk.
+
+    :param disk: keeps the records.
+    """
+
+    def __init__(self, disk: disks.Disk) -> None:
+        """Start with the group that the disk knows."""
+        self.disk = disk
+        self.index = disk.index
+        self.status_exchange = status_exchanges.StatusExchange(
+            disk, self.adopt, clock.SystemClock()
+        )
+        self.open_turns = turn_counters.TurnCounter(clock.SystemClock())
+        self._listed_entries: list = []
+        self._listing_number = 0
+
+    @property
+    def group(self) -> groups.Group:
+        """The newest group that is known here."""
+        return self.disk.identity.group
+
+    def adopt(self, group: groups.Group) -> None:
+        """Take a newer group over, permanently."""
+        if group.epoch > self.group.epoch:
+            logger.info(
+                'storage group adopted',
+                epoch=group.epoch,
+                before=self.group.epoch,
+                members=[member.node for member in group.members],
+                following=[member.node for member in group.following],
+            )
+            self.disk.save_identity(
+                attrs.evolve(self.disk.identity, group=group)
+            )
+
+    def receive(
+        self, envelope: messages.Envelope, reply: ReplyCallback
+    ) -> None:
+        """Carry out a request; the reply may come later."""
+        kind = type(envelope.message).__name__
+        status_handler = _STATUS_HANDLERS.get(kind)
+        if status_handler is not None:
+            status_handler(self.status_exchange, envelope.message, reply)
+            return
+        handler = _HANDLERS[kind]
+        if handler in _EPOCH_FENCED and envelope.epoch != self.group.epoch:
+            is_stale = envelope.epoch < self.group.epoch
+            reply(self._refusal('stale' if is_stale else 'behind'))
+            return
+        handler(self, envelope.message, reply)
+
+    def import_records(self, records: list[bytes]) -> None:
+        """Write copied records that are not known yet and wait for them."""
+        done = event.Event()
+        self._submit(
+            self.index.select_unknown(records),
+            messages.Done,
+            lambda _reply: done.set(),
+        )
+        done.wait()
+
+    def handle_begin(
+        self, message: messages.Begin, reply: ReplyCallback
+    ) -> None:
+        """Reserve tokens and tell what is known of the program."""
+        charge = message.charge
+        records = []
+        if charge is not None:
+            self.open_turns.assign(charge.attempt, message.worker)
+        if charge is not None and not self.index.has_charge(charge):
+            records.append(self.index.new_record(charge, charge.retain_ms))
+        self._submit(records, lambda: self._build_begun(message), reply)
+
+    def handle_finish(
+        self, message: messages.Finish, reply: ReplyCallback
+    ) -> None:
+        """Settle an attempt and keep its turn."""
+        records = []
+        if message.charge is not None:
+            self.open_turns.remove(message.charge.attempt)
+        if message.turn is not None:
+            records.append(
+                self.index.new_record(message.turn, message.retain_ms)
+            )
+        if message.charge is not None:
+            records.append(
+                self.index.new_record(message.charge, message.charge.retain_ms)
+            )
+        self._submit(records, messages.Done, reply)
+
+    def handle_place(
+        self, message: messages.Place, reply: ReplyCallback
+    ) -> None:
+        """Note where a turn runs after all."""
+        self.open_turns.assign(message.attempt, message.worker)
+        reply(messages.Done())
+
+    def handle_adopt(
+        self, message: messages.Adopt, reply: ReplyCallback
+    ) -> None:
+        """Adopt the group that a peer knows."""
+        self.adopt(message.group)
+        reply(messages.Done())
+
+    def handle_fetch(
+        self, message: messages.Fetch, reply: ReplyCallback
+    ) -> None:
+        """Answer a page of all records."""
+        if not message.listing:
+            self._listed_entries = list(self.index.dump())
+            self._listing_number += 1
+        elif message.listing != self._listing_number:
+            reply(self._refusal('failed'))
+            return
+        page: list[bytes] = []
+        size = 0
+        position = message.place
+        while position < len(self._listed_entries) and size < PAGE_BYTES:
+            page.append(self.disk.read(self._listed_entries[position]))
+            size += len(page[-1])
+            position += 1
+        next_position = 0 if position >= len(self._listed_entries) else position
+        is_complete = self.disk.identity.is_complete
+        reply(
+            messages.Records(
+                page, next_position, self._listing_number, is_complete
+            )
+        )
+
+    def handle_give(self, message: messages.Give, reply: ReplyCallback) -> None:
+        """Keep records that another member hands over."""
+        self._submit(
+            self.index.select_unknown(message.records), messages.Done, reply
+        )
+
+    def _build_begun(self, message: messages.Begin) -> Any:
+        if not self.disk.identity.is_complete:
+            return self._refusal('filling')
+        chain, missing = b'', message.previous
+        knows_previous = True
+        if message.previous:
+            knows_previous = self.index.has_turn(message.previous)
+            self.index.extend_retention(message.previous, message.retain_ms)
+            if message.wants_details:
+                chain, missing = self.index.read_chain(message.previous)
+        program = message.charge.program if message.charge else ''
+        return messages.Begun(
+            self.index.charges(program),
+            knows_previous,
+            chain,
+            missing,
+            self.open_turns.counts() if message.wants_details else None,
+        )
+
+    def _refusal(self, reason: str) -> messages.Refused:
+        return messages.Refused(reason, self.group)
+
+    def _submit(
+        self,
+        records: list[record_indexes.Record],
+        build_reply: Callable[[], Any],
+        reply: ReplyCallback,
+    ) -> None:
+        self.disk.submit(
+            disks.Submission(
+                records,
+                lambda: reply(build_reply()),
+                lambda: reply(self._refusal('failed')),
+            )
+        )
+
+
+_HANDLERS = {  # noqa: WPS407
+    'Adopt': Replica.handle_adopt,
+    'Begin': Replica.handle_begin,
+    'Fetch': Replica.handle_fetch,
+    'Finish': Replica.handle_finish,
+    'Give': Replica.handle_give,
+    'Place': Replica.handle_place,
+}
+_EPOCH_FENCED = frozenset((Replica.handle_begin, Replica.handle_finish))
+_STATUS_HANDLERS = {  # noqa: WPS407
+    'Beat': status_exchanges.StatusExchange.handle_beat,
+    'Presence': status_exchanges.StatusExchange.handle_presence,
+    'Recall': status_exchanges.StatusExchange.handle_recall,
+    'Report': status_exchanges.StatusExchange.handle_report,
+}
--- a/src/carobfork/storage/segments.py
+++ b/src/carobfork/storage/segments.py
@@ -14,12 +14,12 @@
 
 SEGMENT_BYTES = 8_388_608
 """Small enough that a segment is dropped soon after its last turn expires."""
-_HEAD = struct.Struct('>II')
+_HEADER = struct.Struct('>II')
 _SUFFIX = '.records'
 
 
 @attrs.frozen
-class Place:
+class RecordLocation:
     """Where a record lies."""
 
     segment: int
@@ -48,43 +48,43 @@
         """The number of the file that is being written, 0 for none."""
         return self._numbers[-1] if self._numbers else 0
 
-    def replay(self) -> Iterator[tuple[Place, bytes]]:
+    def replay(self) -> Iterator[tuple[RecordLocation, bytes]]:
         """Yield the whole records of all files, oldest first."""
         for number in list(self._numbers):
             content = self._path(number).read_bytes()
-            yield from _parse(number, content)
+            yield from _parse_records(number, content)
 
-    def append(self, records: list[bytes]) -> list[Place]:
+    def append(self, records: list[bytes]) -> list[RecordLocation]:
         """Write records and return their places; they are not synced yet.
 
         :raises OSError: the disk refused.
         """
         if self._writer is None or self._size > SEGMENT_BYTES:
             self._roll()
-        places = []
+        locations = []
         pieces = []
         for record in records:
-            head = _HEAD.pack(len(record), zlib.crc32(record))
-            offset = self._size + _HEAD.size
-            places.append(Place(self.current, offset, len(record)))
-            pieces.extend((head, record))
+            header = _HEADER.pack(len(record), zlib.crc32(record))
+            offset = self._size + _HEADER.size
+            locations.append(RecordLocation(self.current, offset, len(record)))
+            pieces.extend((header, record))
             self._size = offset + len(record)
         _write_all(self._writer, b''.join(pieces))
-        return places
+        return locations
 
     def sync(self) -> None:
         """Wait until all that was appended is on the disk."""
         os.fdatasync(self._writer)
 
-    def read(self, place: Place) -> bytes:
+    def read(self, location: RecordLocation) -> bytes:
         """Return a record."""
-        descriptor = self._readers.get(place.segment)
+        descriptor = self._readers.get(location.segment)
         if descriptor is None:
-            descriptor = os.open(self._path(place.segment), os.O_RDONLY)
-            self._readers[place.segment] = descriptor
-        return os.pread(descriptor, place.length, place.offset)
+            descriptor = os.open(self._path(location.segment), os.O_RDONLY)
+            self._readers[location.segment] = descriptor
+        return os.pread(descriptor, location.length, location.offset)
 
-    def drop(self, number: int) -> None:
+    def remove(self, number: int) -> None:
         """Remove a file that is not being written."""
         descriptor = self._readers.pop(number, None)
         if descriptor is not None:
@@ -129,31 +129,33 @@
 
 def write_file(path: pathlib.Path, content: bytes) -> None:
     """Replace a small file as a whole, permanently."""
-    fresh = path.with_suffix('.new')
-    descriptor = os.open(fresh, os.O_WRONLY | os.O_CREAT | os.O_TRUNC)
+    temporary = path.with_suffix('.new')
+    descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC)
     try:
         _write_all(descriptor, content)
         os.fsync(descriptor)
     finally:
         os.close(descriptor)
-    fresh.rename(path)
+    temporary.rename(path)
     sync_folder(path.parent)
 
 
 def _write_all(descriptor: int, content: bytes) -> None:
-    left = memoryview(content)
-    while left:
-        left = left[os.write(descriptor, left) :]
+    remaining = memoryview(content)
+    while remaining:
+        remaining = remaining[os.write(descriptor, remaining) :]
 
 
-def _parse(number: int, content: bytes) -> Iterator[tuple[Place, bytes]]:
+def _parse_records(
+    number: int, content: bytes
+) -> Iterator[tuple[RecordLocation, bytes]]:
     """Yield records up to the first that is torn."""
     offset = 0
-    while len(content) - offset >= _HEAD.size:
-        length, checksum = _HEAD.unpack_from(content, offset)
-        begin = offset + _HEAD.size
+    while len(content) - offset >= _HEADER.size:
+        length, checksum = _HEADER.unpack_from(content, offset)
+        begin = offset + _HEADER.size
         record = content[begin : begin + length]
         if len(record) < length or zlib.crc32(record) != checksum:
             return
-        yield Place(number, begin, length), record
+        yield RecordLocation(number, begin, length), record
         offset = begin + length
--- a/src/carobfork/storage/notes.py
+++ b/src/carobfork/storage/snapshots.py
@@ -12,7 +12,7 @@
 
 
 @attrs.frozen
-class Change:
+class Delta:
     """What has changed of one kind of objects.
 
     :param revision: the state that it leads to.
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen
-class Note:
+class Snapshot:
     """All objects of one kind at a revision.
 
     :param entries: revision and content of each object, by name.
@@ -35,41 +35,43 @@
     revision: int = UNKNOWN_REVISION
     entries: dict[str, tuple[int, bytes]] = attrs.Factory(dict)
 
-    def since(self, revision: int) -> Change:
+    def delta_since(self, revision: int) -> Delta:
         """Return what a host lacks that knows an earlier revision."""
         changed = {
             name: entry
             for name, entry in self.entries.items()
             if entry[0] > revision
         }
-        return Change(self.revision, changed, list(self.entries))
+        return Delta(self.revision, changed, list(self.entries))
 
-    def apply(self, change: Change) -> 'Note | None':
+    def apply(self, delta: Delta) -> 'Snapshot | None':
         """Return the note after a change.
 
         Nothing, where the change leaves out an object that is not known here.
         """
-        known = {**self.entries, **change.entries}
-        if not known.keys() >= set(change.names):
+        known = {**self.entries, **delta.entries}
+        if not known.keys() >= set(delta.names):
             return None
-        return Note(
-            change.revision, {name: known[name] for name in change.names}
+        return Snapshot(
+            delta.revision, {name: known[name] for name in delta.names}
         )
 
 
-class Notebook:
+class SnapshotCache:
     """The newest note of each kind.
 
     :param notes: what was known before, by kind.
     """
 
-    def __init__(self, notes: Mapping[str, Note] | None = None) -> None:
+    def __init__(self, snapshots: Mapping[str, Snapshot] | None = None) -> None:
         """Start with what was known before."""
-        self.notes = dict(notes or {})
+        self.snapshots = dict(snapshots or {})
 
     def revisions(self) -> dict[str, int]:
         """Return the known revision of each kind."""
-        return {kind: note.revision for kind, note in self.notes.items()}
+        return {
+            kind: snapshot.revision for kind, snapshot in self.snapshots.items()
+        }
 
     def is_behind(self, revisions: Mapping[str, int]) -> bool:
         """Tell whether another host knows more."""
@@ -78,40 +80,40 @@
             for kind, revision in revisions.items()
         )
 
-    def get(self, kind: str) -> Note:
+    def get(self, kind: str) -> Snapshot:
         """Return the note of a kind, an empty one where none is known."""
-        return self.notes.get(kind) or Note()
+        return self.snapshots.get(kind) or Snapshot()
 
-    def put(self, kind: str, note: Note) -> bool:
+    def put(self, kind: str, snapshot: Snapshot) -> bool:
         """Keep a note unless a newer one is known; tell whether it is kept."""
-        if note.revision < self.get(kind).revision:
+        if snapshot.revision < self.get(kind).revision:
             return False
-        self.notes[kind] = note
+        self.snapshots[kind] = snapshot
         return True
 
-    def since(self, revisions: Mapping[str, int]) -> dict[str, Change]:
+    def deltas_since(self, revisions: Mapping[str, int]) -> dict[str, Delta]:
         """Return what a host lacks that knows certain revisions."""
         return {
-            kind: note.since(revisions.get(kind, UNKNOWN_REVISION))
-            for kind, note in self.notes.items()
-            if note.revision > revisions.get(kind, UNKNOWN_REVISION)
+            kind: snapshot.delta_since(revisions.get(kind, UNKNOWN_REVISION))
+            for kind, snapshot in self.snapshots.items()
+            if snapshot.revision > revisions.get(kind, UNKNOWN_REVISION)
         }
 
-    def merge(self, changes: Mapping[str, Change]) -> tuple[list[str], bool]:
+    def merge(self, deltas: Mapping[str, Delta]) -> tuple[list[str], bool]:
         """Take what another host told.
 
         :return: the kinds that are newer now, and whether all of it could be
             taken; otherwise the host must be asked for everything.
         """
-        renewed = []
-        is_whole = True
-        for kind, change in changes.items():
-            if change.revision <= self.get(kind).revision:
+        updated_kinds = []
+        is_complete = True
+        for kind, delta in deltas.items():
+            if delta.revision <= self.get(kind).revision:
                 continue
-            note = self.get(kind).apply(change)
-            if note is None:
-                is_whole = False
+            snapshot = self.get(kind).apply(delta)
+            if snapshot is None:
+                is_complete = False
             else:
-                self.notes[kind] = note
-                renewed.append(kind)
-        return renewed, is_whole
+                self.snapshots[kind] = snapshot
+                updated_kinds.append(kind)
+        return updated_kinds, is_complete
--- a/src/carobfork/storage/boards.py
+++ b/src/carobfork/storage/turn_counters.py
@@ -9,11 +9,11 @@
 
 from carobfork import clock
 
-OPEN_MS = 5000
+OPEN_TURN_TTL_MS = 5000
 """A turn that was neither finished nor settled by then lost its host."""
 
 
-class Board:
+class TurnCounter:
     """Count open turns by backend server.
 
     :param timer: measures ages.
@@ -22,19 +22,19 @@
     def __init__(self, timer: clock.Clock) -> None:
         """Start without turns."""
         self._timer = timer
-        self._open: dict[str, tuple[str, float]] = {}
+        self._open_turns: dict[str, tuple[str, float]] = {}
         self._counts: collections.Counter[str] = collections.Counter()
 
-    def note(self, attempt: str, worker: str) -> None:
+    def assign(self, attempt: str, worker: str) -> None:
         """Note that a turn is about to run on a server."""
-        self.drop(attempt)
+        self.remove(attempt)
         if worker:
-            self._open[attempt] = (worker, self._timer.now_ms())
+            self._open_turns[attempt] = (worker, self._timer.now_ms())
             self._counts[worker] += 1
 
-    def drop(self, attempt: str) -> None:
+    def remove(self, attempt: str) -> None:
         """Note that a turn has ended."""
-        worker, _since_ms = self._open.pop(attempt, ('', 0))
+        worker, _since_ms = self._open_turns.pop(attempt, ('', 0))
         if worker:
             self._counts[worker] -= 1
 
@@ -44,9 +44,9 @@
         return {name: count for name, count in self._counts.items() if count}
 
     def _expire(self) -> None:
-        oldest_ms = self._timer.now_ms() - OPEN_MS
-        while self._open:
-            attempt = next(iter(self._open))
-            if self._open[attempt][1] > oldest_ms:
+        oldest_ms = self._timer.now_ms() - OPEN_TURN_TTL_MS
+        while self._open_turns:
+            attempt = next(iter(self._open_turns))
+            if self._open_turns[attempt][1] > oldest_ms:
                 return
-            self.drop(attempt)
+            self.remove(attempt)
--- a/tests/test_boards.py
+++ b/tests/test_boards.py
@@ -4,7 +4,7 @@
 
 from carobfork import clock
 from carobfork.gateway import calls, placements, workers
-from carobfork.storage import boards
+from carobfork.storage import turn_counters
 
 
 class BoardTest(unittest.TestCase):
@@ -13,24 +13,24 @@
     def setUp(self):
         """Start without turns."""
         self.timer = clock.ManualClock()
-        self.board = boards.Board(self.timer)
+        self.board = turn_counters.TurnCounter(self.timer)
 
     def test_turns_begin_and_end(self):
         """Each counts once, on the server that was named last."""
-        self.board.note('t1', 'a')
-        self.board.note('t2', 'a')
-        self.board.note('t2', 'b')
+        self.board.assign('t1', 'a')
+        self.board.assign('t2', 'a')
+        self.board.assign('t2', 'b')
         self.assertEqual(self.board.counts(), {'a': 1, 'b': 1})
-        self.board.drop('t1')
-        self.board.drop('t1')
-        self.board.drop('never')
+        self.board.remove('t1')
+        self.board.remove('t1')
+        self.board.remove('never')
         self.assertEqual(self.board.counts(), {'b': 1})
 
     def test_turns_of_a_lost_host(self):
         """They stop counting after the longest turn."""
-        self.board.note('t1', 'a')
-        self.timer.advance(boards.OPEN_MS + 1)
-        self.board.note('t2', 'b')
+        self.board.assign('t1', 'a')
+        self.timer.advance(turn_counters.OPEN_TURN_TTL_MS + 1)
+        self.board.assign('t2', 'b')
         self.assertEqual(self.board.counts(), {'b': 1})
 
 
@@ -44,7 +44,7 @@
     def setUp(self):
         """Start with idle servers and as many tables as hosts."""
         self.timer = clock.ManualClock()
-        self.board = boards.Board(self.timer)
+        self.board = turn_counters.TurnCounter(self.timer)
         entries = [
             workers.Entry(f's{number}', 'e', '127.0.0.1', 1, 'z', self.slots)
             for number in range(self.servers)
@@ -61,14 +61,14 @@
         choose = placements.PLACEMENTS['home']
         first = choose(call, table.usable('e'), self.timer.now_ms())
         announced = first.instance if first else ''
-        self.board.note(call.attempt, announced)
+        self.board.assign(call.attempt, announced)
         table.note_open_turns(self.board.counts(), announced)
         worker = choose(call, table.usable('e'), self.timer.now_ms())
         if worker is None:
-            self.board.drop(call.attempt)
+            self.board.remove(call.attempt)
             return
         worker.in_flight += 1
-        self.board.note(call.attempt, worker.instance)
+        self.board.assign(call.attempt, worker.instance)
 
     def test_no_server_gets_more_than_its_slots(self):
         """All hosts see each turn at once; what is left waits."""
--- a/tests/test_presences.py
+++ b/tests/test_presences.py
@@ -29,67 +29,67 @@
     def setUp(self):
         """Start without entry hosts."""
         self.timer = clock.ManualClock()
-        self.near = presences.Presences(self.timer)
-        self.far = presences.Presences(self.timer)
+        self.near = presences.PresenceTable(self.timer)
+        self.far = presences.PresenceTable(self.timer)
 
     def report(self):
         """Let the near store host tell the far one what it heard."""
-        self.far.note_reported(self.near.direct())
+        self.far.record_reported(self.near.recent_direct())
 
     def test_calls_of_hosts_that_tell_another_store_host(self):
         """All calls count but the asker's own."""
-        self.near.note(presence('a', calls=2), NEWS)
+        self.near.record(presence('a', calls=2), NEWS)
         self.report()
-        told = self.far.note(presence('b', calls=3), NEWS)
+        told = self.far.record(presence('b', calls=3), NEWS)
         self.assertEqual(told.in_flight, {'e0': 2})
         self.assertEqual(told.waiting, {'engines': 2})
         self.assertEqual(set(told.hosts), {'a', 'b'})
 
     def test_calls_that_wait_elsewhere_hurry_reports(self):
         """A store host learns of them through a report, too."""
-        self.assertFalse(self.far.has_waiting())
-        self.near.note(presence('a', calls=2), NEWS)
+        self.assertFalse(self.far.has_waiting_calls())
+        self.near.record(presence('a', calls=2), NEWS)
         self.report()
-        self.timer.advance(presences.SUM_MS + 1)
-        self.assertTrue(self.far.has_waiting())
+        self.timer.advance(presences.TOTALS_TTL_MS + 1)
+        self.assertTrue(self.far.has_waiting_calls())
 
     def test_suspects(self):
         """Other hosts' suspicions are counted, the asker's own are not."""
         for node in 'ab':
             told = attrs.evolve(presence(node), suspects=['e0'])
-            self.near.note(told, NEWS)
+            self.near.record(told, NEWS)
         self.report()
         told = attrs.evolve(presence('c'), suspects=['e0', 'e1'])
-        answer = self.far.note(told, NEWS)
+        answer = self.far.record(told, NEWS)
         self.assertEqual(answer.suspects, {'e0': 2})
 
     def test_own_calls_are_taken_off_as_they_were_counted(self):
         """Sums that are used again hold what the asker told before."""
-        self.near.note(presence('a', calls=2), NEWS)
-        told = self.near.note(presence('a', calls=1), NEWS)
+        self.near.record(presence('a', calls=2), NEWS)
+        told = self.near.record(presence('a', calls=1), NEWS)
         self.assertEqual(told.in_flight, {})
 
     def test_a_host_that_falls_silent(self):
         """It is forgotten everywhere, though reports go on."""
-        self.near.note(presence('a'), NEWS)
+        self.near.record(presence('a'), NEWS)
         self.report()
         for _ in range(8):
             self.timer.advance(250)
-            self.near.note(presence('c'), NEWS)
+            self.near.record(presence('c'), NEWS)
             self.report()
-        told = self.far.note(presence('b'), NEWS)
+        told = self.far.record(presence('b'), NEWS)
         self.assertEqual(set(told.hosts), {'b', 'c'})
 
     def test_a_direct_word_stands_against_reports(self):
         """A report of what a host told elsewhere before is older."""
-        self.near.note(presence('a', calls=9), NEWS)
-        self.far.note(presence('a', calls=1), NEWS)
+        self.near.record(presence('a', calls=9), NEWS)
+        self.far.record(presence('a', calls=1), NEWS)
         self.report()
-        told = self.far.note(presence('b'), NEWS)
+        told = self.far.record(presence('b'), NEWS)
         self.assertEqual(told.in_flight, {'e0': 1})
 
     def test_known_hosts_are_not_told_again(self):
         """Only the set's version is."""
-        first = self.near.note(presence('a'), NEWS)
-        again = self.near.note(presence('a', version=first.version), NEWS)
+        first = self.near.record(presence('a'), NEWS)
+        again = self.near.record(presence('a', version=first.version), NEWS)
         self.assertIsNone(again.hosts)
--- a/tests/test_notes.py
+++ b/tests/test_snapshots.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from carobfork.storage import notes
+from carobfork.storage import snapshots
 
-BEFORE = notes.Note(5, {'a': (2, b'a'), 'b': (5, b'b')})
-AFTER = notes.Note(8, {'a': (2, b'a'), 'c': (7, b'c')})
+BEFORE = snapshots.Snapshot(5, {'a': (2, b'a'), 'b': (5, b'b')})
+AFTER = snapshots.Snapshot(8, {'a': (2, b'a'), 'c': (7, b'c')})
 
 
 class NotesTest(unittest.TestCase):
@@ -13,23 +13,25 @@
 
     def test_only_changes_are_told(self):
         """What the asker knows is named and not sent again."""
-        change = AFTER.since(5)
+        change = AFTER.delta_since(5)
         self.assertEqual(change.entries, {'c': (7, b'c')})
         self.assertEqual(BEFORE.apply(change), AFTER)
 
     def test_a_change_that_leaves_too_much_out(self):
         """It is not taken, and the asker wants everything."""
-        notebook = notes.Notebook()
-        renewed, is_whole = notebook.merge({'k': AFTER.since(5)})
+        notebook = snapshots.SnapshotCache()
+        renewed, is_whole = notebook.merge({'k': AFTER.delta_since(5)})
         self.assertEqual((renewed, is_whole), ([], False))
-        renewed, is_whole = notebook.merge({'k': AFTER.since(-1)})
+        renewed, is_whole = notebook.merge({'k': AFTER.delta_since(-1)})
         self.assertEqual((renewed, is_whole), (['k'], True))
 
     def test_older_notes_change_nothing(self):
         """A host that lags behind is not believed."""
-        notebook = notes.Notebook({'k': AFTER})
+        notebook = snapshots.SnapshotCache({'k': AFTER})
         self.assertFalse(notebook.put('k', BEFORE))
-        self.assertEqual(notebook.merge({'k': BEFORE.since(-1)}), ([], True))
+        self.assertEqual(
+            notebook.merge({'k': BEFORE.delta_since(-1)}), ([], True)
+        )
         self.assertFalse(notebook.is_behind({'k': 5}))
         self.assertTrue(notebook.is_behind({'other': 1}))
-        self.assertEqual(notebook.since({'k': 8}), {})
+        self.assertEqual(notebook.deltas_since({'k': 8}), {})
--- a/tests/test_storage_hosts.py
+++ b/tests/test_storage_hosts.py
@@ -173,7 +173,7 @@
             known = hosts.store.get('config', 'main')['Metadata']['Rev']
             wait_until(
                 lambda: (
-                    cut_off.disk.notebook.get('config').revision >= known
+                    cut_off.disk.snapshots.get('config').revision >= known
                     and cut_off.membership.disk in hosts.members()
                 ),
                 'the configuration at the store host that is cut off',
