--- a/src/carobfork/gateway/admissions.py
+++ b/src/carobfork/gateway/admissions.py
@@ -7,18 +7,18 @@
 from gevent import event
 
 from carobfork import clock, exceptions
-from carobfork.gateway import desks, exchanges, placements, workers
+from carobfork.gateway import exchanges, placements, queues, workers
 
-SERVE_EVERY_MS = 20
+PROCESS_INTERVAL_MS = 20
 """Between looks at calls that wait: slots come free at other hosts, too."""
-_SPREADS = 1000
+_JITTER_STEPS = 1000
 
 
-def _ignore(_worker: workers.Worker | None) -> None:
+def _discard_slot(_worker: workers.Worker | None) -> None:
     """Take no slot."""
 
 
-class Admission:
+class AdmissionController:
     """The desks of all services.
 
     :param table: the backend servers.
@@ -33,33 +33,33 @@
         self._table = table
         self._timer = timer
         self._policy = placements.PLACEMENTS[policy]
-        self._desks: dict[str, desks.Desk] = {}
+        self._queues: dict[str, queues.CallQueue] = {}
         self._has_waiting = event.Event()
 
-    def desk(self, service: str) -> desks.Desk:
+    def queue(self, service: str) -> queues.CallQueue:
         """Return the desk of a service."""
-        if service not in self._desks:
-            self._desks[service] = desks.Desk(
+        if service not in self._queues:
+            self._queues[service] = queues.CallQueue(
                 service,
                 self._table,
                 self._timer,
                 self._policy,
                 self._has_waiting.set,
             )
-        return self._desks[service]
+        return self._queues[service]
 
     def waiting(self) -> dict[str, int]:
         """Return the calls that wait for a slot, by service."""
         return {
-            name: len(desk.waiting)
-            for name, desk in self._desks.items()
-            if desk.waiting
+            name: len(queue.waiting)
+            for name, queue in self._queues.items()
+            if queue.waiting
         }
 
-    def serve(self) -> None:
+    def process_waiting(self) -> None:
         """Let all desks look at what waits."""
-        for desk in list(self._desks.values()):
-            desk.serve()
+        for queue in list(self._queues.values()):
+            queue.process_waiting()
 
     def run(self) -> None:
         """Serve what waits, until the greenlet is killed.
@@ -68,67 +68,71 @@
         """
         while True:
             self._has_waiting.wait()
-            self.serve()
+            self.process_waiting()
             if not self.waiting():
                 self._has_waiting.clear()
-            gevent.sleep(clock.to_seconds(SERVE_EVERY_MS))
+            gevent.sleep(clock.to_seconds(PROCESS_INTERVAL_MS))
 
-    def preview(self, run: exchanges.Run) -> str:
+    def preview(self, context: exchanges.RequestContext) -> str:
         """Return the server that a run would get now, if any."""
-        return self.desk(run.service).preview(self._ticket(run))
+        return self.queue(context.service).preview(self._queued_call(context))
 
     @contextlib.contextmanager
-    def slot(self, run: exchanges.Run) -> Iterator[workers.Worker]:
+    def slot(
+        self, context: exchanges.RequestContext
+    ) -> Iterator[workers.Worker]:
         """Hold a slot of a server.
 
         :raises OverloadedError: there is none in time.
         """
-        desk = self.desk(run.service)
-        worker = self._wait_for_slot(run, desk)
+        queue = self.queue(context.service)
+        worker = self._wait_for_slot(context, queue)
         taken_ms = self._timer.now_ms()
         try:
             yield worker
         finally:
-            desk.release(worker, self._timer.now_ms() - taken_ms)
+            queue.release(worker, self._timer.now_ms() - taken_ms)
 
     def refusal(
-        self, run: exchanges.Run, reason: str
+        self, context: exchanges.RequestContext, reason: str
     ) -> exceptions.CarobforkError:
         """Return the error of a run that gets no slot."""
-        desk = self.desk(run.service)
-        left_ms = run.until_ms - self._timer.now_ms()
+        queue = self.queue(context.service)
+        left_ms = context.deadline_at_ms - self._timer.now_ms()
         # Attempts are random, so their hashes spread a burst's return.
-        spread = (hash(run.call.attempt) % _SPREADS) / _SPREADS
+        jitter = (hash(context.call.attempt) % _JITTER_STEPS) / _JITTER_STEPS
         return exceptions.OverloadedError(
-            f'{reason}; {len(desk.waiting)} wait',
+            f'{reason}; {len(queue.waiting)} wait',
             step='admit',
-            peer=run.service,
-            retry_after_ms=int(desk.retry_after_ms(left_ms, spread)),
+            peer=context.service,
+            retry_after_ms=int(queue.retry_after_ms(left_ms, jitter)),
         )
 
     def _wait_for_slot(
-        self, run: exchanges.Run, desk: desks.Desk
+        self, context: exchanges.RequestContext, queue: queues.CallQueue
     ) -> workers.Worker:
         asked_ms = self._timer.now_ms()
         granted = event.AsyncResult()
-        ticket = self._ticket(run, granted.set)
-        desk.submit(ticket)
+        queued = self._queued_call(context, granted.set)
+        queue.submit(queued)
         try:
             worker = granted.get()
         except BaseException:
-            desk.withdraw(ticket)
+            queue.cancel(queued)
             if granted.ready() and granted.value is not None:
-                desk.release(granted.value, 0)
+                queue.release(granted.value, 0)
             raise
-        run.queued_ms += self._timer.now_ms() - asked_ms
+        context.queued_ms += self._timer.now_ms() - asked_ms
         if worker is None:
-            raise self.refusal(run, 'no free slot')
+            raise self.refusal(context, 'no free slot')
         return worker
 
-    def _ticket(
+    def _queued_call(
         self,
-        run: exchanges.Run,
-        resolve: Callable[[workers.Worker | None], None] = _ignore,
-    ) -> desks.Ticket:
-        left_ms = run.until_ms - self._timer.now_ms()
-        return desks.Ticket(run.call, run.route, left_ms, resolve, run.avoided)
+        context: exchanges.RequestContext,
+        resolve: Callable[[workers.Worker | None], None] = _discard_slot,
+    ) -> queues.QueuedCall:
+        left_ms = context.deadline_at_ms - self._timer.now_ms()
+        return queues.QueuedCall(
+            context.call, context.route, left_ms, resolve, context.avoided
+        )
--- a/src/carobfork/gateway/calls.py
+++ b/src/carobfork/gateway/calls.py
@@ -24,7 +24,7 @@
     deadline_ms: float | None = None
     program: str = ''
     session: str = ''
-    finish_ms: float | None = None
+    program_deadline_ms: float | None = None
     budget_tokens: int | None = None
     prompt_tokens: int = 0
     output_tokens: int = 0
--- a/src/carobfork/gateway/pools.py
+++ b/src/carobfork/gateway/connection_pools.py
@@ -16,19 +16,19 @@
 
 CONNECT_TIMEOUT_MS = 400
 """Above a few round trips and a busy server, below a lost packet's second."""
-IDLE_PART = 0.7
+MAX_IDLE_RATIO = 0.7
 """Of the server's idle time-out that a connection is kept."""
-IDLE_MS = 2000
+DEFAULT_MAX_IDLE_MS = 2000
 """For servers that don't tell their time-out."""
-UNSAFE_IDLE_MS = 400
+MAX_UNSAFE_IDLE_MS = 400
 """For calls that run at most once: a server may have dropped the connection
 without a word, and then nobody knows whether the call ran."""
-STREAM_IDLE_MS = 4000
+MAX_STREAM_IDLE_MS = 4000
 """For turns that run at most once: callers send a turn again from its start."""
 USER_TIMEOUT_MS = 1200
 """For unacknowledged bytes: above the second after which a lost packet is
 sent again."""
-MOST_IDLE = 24
+MAX_IDLE_CONNECTIONS = 24
 """Kept connections to one server: as many as one host's calls in a burst."""
 
 
@@ -40,15 +40,15 @@
     reader: framing.Reader
     is_reused: bool = False
     idle_since_ms: float = 0
-    keep_ms: float = IDLE_MS
-    is_spoilt: bool = False
+    max_idle_ms: float = DEFAULT_MAX_IDLE_MS
+    has_partial_request: bool = False
     """Whether the server may still wait for bytes of a request."""
 
     def close(self) -> None:
         """Close it, which cancels what runs on it."""
         self.sock.close()
 
-    def is_quiet(self) -> bool:
+    def is_clean(self) -> bool:
         """Tell whether it is open and nothing unasked has arrived."""
         if self.reader.buffered:
             return False
@@ -63,7 +63,7 @@
         return False
 
 
-class Pool:
+class ConnectionPool:
     """Connections to all backend servers.
 
     :param timer: measures idle times.
@@ -75,7 +75,7 @@
         self._timer = timer
         self._idle: dict[tuple, collections.deque[Connection]] = {}
 
-    def take(self, worker: workers.Worker, most_idle_ms: float) -> Connection:
+    def acquire(self, worker: workers.Worker, max_idle_ms: float) -> Connection:
         """Return a connection to a server, kept or new.
 
         :param most_idle_ms: how long it may have been idle.
@@ -86,13 +86,13 @@
         while idle:
             connection = idle.pop()
             worker.idle_connections = len(idle)
-            if self._is_fresh(connection, most_idle_ms):
+            if self._is_usable(connection, max_idle_ms):
                 connection.is_reused = True
                 return connection
             connection.close()
         return self._open(worker)
 
-    def give_back(
+    def release(
         self,
         worker: workers.Worker,
         connection: Connection,
@@ -102,29 +102,29 @@
 
         :param idle_ms: how long the server keeps it, if told.
         """
-        if connection.is_spoilt:
+        if connection.has_partial_request:
             connection.close()
             return
         if idle_ms is not None:
-            connection.keep_ms = idle_ms * IDLE_PART
+            connection.max_idle_ms = idle_ms * MAX_IDLE_RATIO
         connection.idle_since_ms = self._timer.now_ms()
         idle = self._idle.setdefault(_key(worker), collections.deque())
         idle.append(connection)
-        if len(idle) > MOST_IDLE:
+        if len(idle) > MAX_IDLE_CONNECTIONS:
             idle.popleft().close()
         worker.idle_connections = len(idle)
-        worker.kept_ms = connection.idle_since_ms
+        worker.last_kept_ms = connection.idle_since_ms
 
-    def discard(self, worker: workers.Worker) -> None:
+    def discard_idle(self, worker: workers.Worker) -> None:
         """Close all kept connections to a server that has failed."""
         for connection in self._idle.pop(_key(worker), ()):
             connection.close()
         worker.idle_connections = 0
 
-    def trim(self) -> None:
+    def close_expired(self) -> None:
         """Close connections that were idle for too long."""
         for key, idle in list(self._idle.items()):
-            while idle and not self._is_fresh(idle[0], idle[0].keep_ms):
+            while idle and not self._is_usable(idle[0], idle[0].max_idle_ms):
                 idle.popleft().close()
             if not idle:
                 self._idle.pop(key)
@@ -136,10 +136,10 @@
                 connection.close()
         self._idle.clear()
 
-    def _is_fresh(self, connection: Connection, most_idle_ms: float) -> bool:
+    def _is_usable(self, connection: Connection, max_idle_ms: float) -> bool:
         idle_ms = self._timer.now_ms() - connection.idle_since_ms
-        most_ms = min(connection.keep_ms, most_idle_ms)
-        return idle_ms < most_ms and connection.is_quiet()
+        limit_ms = min(connection.max_idle_ms, max_idle_ms)
+        return idle_ms < limit_ms and connection.is_clean()
 
     def _open(self, worker: workers.Worker) -> Connection:
         self.opened += 1
@@ -164,10 +164,10 @@
     return entry.instance, entry.started_ms, entry.ip, entry.port
 
 
-def most_idle_ms(route: routes.Route) -> float:
+def max_idle_ms(route: routes.Route) -> float:
     """Return how long a connection may have been idle for a request."""
     if route.is_repeatable:
         return float('inf')
     if route.kind == routes.Kind.stream:
-        return STREAM_IDLE_MS
-    return UNSAFE_IDLE_MS
+        return MAX_STREAM_IDLE_MS
+    return MAX_UNSAFE_IDLE_MS
--- a/src/carobfork/gateway/directories.py
+++ b/src/carobfork/gateway/directories.py
@@ -5,11 +5,11 @@
 from carobfork import clock
 from carobfork.storage import messages
 
-MOST_ADDRESSES = 64
-NEAR_HOSTS = 6
+MAX_ADDRESSES = 64
+MIN_ZONE_HOSTS = 6
 """Entry hosts of one failure domain that can serve its callers by
 themselves: the loss of one still leaves most of them."""
-STALE_MS = 1600
+HOSTS_TTL_MS = 1600
 """Six beats: a store host that was lost has been replaced by another."""
 
 
@@ -31,23 +31,23 @@
         """Start knowing this host only."""
         self.version = 0
         self._timer = timer
-        self._told_ms = float('-inf')
+        self._updated_ms = float('-inf')
         self._node = node
         self._zone = zone
         self._address = address
         self._hosts: dict[str, tuple[str, str, bool]] = {}
 
     @property
-    def serves_near(self) -> bool:
+    def is_zone_self_sufficient(self) -> bool:
         """Whether callers of this failure domain come to its hosts only."""
-        return len(list(self._others(self._zone))) + 1 >= NEAR_HOSTS
+        return len(list(self._others(self._zone))) + 1 >= MIN_ZONE_HOSTS
 
-    def take(self, told: messages.Hosts) -> None:
+    def update(self, message: messages.Hosts) -> None:
         """Take what a store host has heard."""
-        self._told_ms = self._timer.now_ms()
-        if told.hosts is not None:
-            self._hosts = told.hosts
-            self.version = told.version
+        self._updated_ms = self._timer.now_ms()
+        if message.hosts is not None:
+            self._hosts = message.hosts
+            self.version = message.version
 
     def addresses(self, zone: str, is_self_ready: bool) -> list[str]:
         """Return the addresses for callers of a failure domain.
@@ -57,21 +57,23 @@
 
         :param is_self_ready: whether this host can serve callers.
         """
-        if self._timer.now_ms() - self._told_ms > STALE_MS:
+        if self._timer.now_ms() - self._updated_ms > HOSTS_TTL_MS:
             return []
         near = list(self._others(zone))
         if is_self_ready and zone == self._zone:
             near.insert(0, self._address)
-        if len(near) >= NEAR_HOSTS:
-            return near[:MOST_ADDRESSES]
+        if len(near) >= MIN_ZONE_HOSTS:
+            return near[:MAX_ADDRESSES]
         others = list(self._others())
         if is_self_ready:
             others.insert(0, self._address)
-        return others[:MOST_ADDRESSES]
+        return others[:MAX_ADDRESSES]
 
     def _others(self, zone: str = '') -> Iterator[str]:
         """Yield the addresses of other hosts, of one domain or of all."""
-        for node, (address, placed, is_leaving) in sorted(self._hosts.items()):
-            is_wanted = placed == zone or not zone
-            if node != self._node and is_wanted and not is_leaving:
+        for node, (address, host_zone, is_leaving) in sorted(
+            self._hosts.items()
+        ):
+            matches_zone = host_zone == zone or not zone
+            if node != self._node and matches_zone and not is_leaving:
                 yield address
--- a/src/carobfork/gateway/events.py
+++ b/src/carobfork/gateway/events.py
@@ -42,25 +42,25 @@
 
     def __init__(self) -> None:
         """Start with nothing left over."""
-        self.rest = bytearray()
+        self.remainder = bytearray()
 
     def feed(self, piece: bytes) -> list[Event]:
         """Return the events that a piece completes."""
-        self.rest.extend(piece)
+        self.remainder.extend(piece)
         found = []
         while True:
-            end = self._end()
+            end = self._event_end()
             if end < 0:
                 return found
-            raw = bytes(self.rest[:end])
-            self.rest = self.rest[end:]
+            raw = bytes(self.remainder[:end])
+            self.remainder = self.remainder[end:]
             found.append(Event(raw, _number(raw)))
 
-    def _end(self) -> int:
+    def _event_end(self) -> int:
         ends = [
             place + len(separator)
             for separator in _SEPARATORS
-            if (place := self.rest.find(separator)) >= 0
+            if (place := self.remainder.find(separator)) >= 0
         ]
         return min(ends, default=-1)
 
@@ -74,16 +74,16 @@
     def __init__(self, last: str = '') -> None:
         """Start after an event."""
         self.count = 0
-        self.last = last
-        self._lines: list[bytes] = []
+        self.last_id = last
+        self._payloads: list[bytes] = []
 
     def accept(self, event: Event) -> bool:
         """Note an event; tell whether it is new to the caller.
 
         :raises EventOrderError: an event before it is missing.
         """
-        if event.number is not None and self.last.isdigit():
-            expected = int(self.last) + 1
+        if event.number is not None and self.last_id.isdigit():
+            expected = int(self.last_id) + 1
             if event.number < expected:
                 return False
             if event.number > expected:
@@ -92,14 +92,14 @@
                     step='relay',
                 )
         if event.number is not None:
-            self.last = str(event.number)
+            self.last_id = str(event.number)
         self.count += 1
-        self._lines.append(event.payload)
+        self._payloads.append(event.payload)
         return True
 
     def content(self) -> bytes:
         """Return the data of all events, a line each."""
-        return b''.join(b'%b\n' % line for line in self._lines)
+        return b''.join(b'%b\n' % line for line in self._payloads)
 
 
 def _number(raw: bytes) -> int | None:
--- a/src/carobfork/gateway/exchanges.py
+++ b/src/carobfork/gateway/exchanges.py
@@ -15,26 +15,26 @@
 from carobfork import clock, exceptions
 from carobfork.gateway import (
     calls,
+    connection_pools,
     events,
     framing,
-    pools,
     routes,
     turns,
     workers,
 )
 
-MOST_STRAY_ANSWERS = 2
+MAX_STRAY_ANSWERS = 2
 """Late answers to other requests that are skipped on one connection."""
 MAX_ANSWER_BYTES = 1_048_576
 """Answers up to this size are read whole before they are passed on."""
-LONG_BODY_BYTES = 16_384
+MAX_BLOCKING_SEND_BYTES = 16_384
 """Longer bodies are sent while the answer is awaited: it may come early."""
-LEAST_LEFT_MS = 15
+MIN_LEFT_MS = 15
 """With less time left no server can answer."""
 _STEP = 'relay'
-_OK = 300
-_FAILED = 500
-_PROMISES = frozenset((402, 408, 421, 429, 503))
+_REDIRECT_STATUS = 300
+_SERVER_ERROR_STATUS = 500
+_NOT_RUN_STATUSES = frozenset((402, 408, 421, 429, 503))
 """Statuses that promise that a call has not run."""
 
 logger = structlog.get_logger(part='exchange')
@@ -66,7 +66,7 @@
         """Return what a response says about itself."""
 
 
-class Caller(Protocol):
+class ResponseWriter(Protocol):
     """The caller's end of a request."""
 
     has_begun: bool
@@ -96,7 +96,7 @@
 
 
 @attrs.define(eq=False)
-class Run:
+class RequestContext:
     """One request on its way.
 
     :param until_ms: when its time is up.
@@ -114,22 +114,25 @@
     call: calls.Call
     route: routes.Route
     service: str
-    until_ms: float
-    log: events.EventLog
+    deadline_at_ms: float
+    event_log: events.EventLog
     body: bytes
     turn: turns.Turn | None = None
     is_sent: bool = False
-    runs: int = 0
+    failed_attempts: int = 0
     refusals: int = 0
     avoided: frozenset[str] = frozenset()
     worker: str = ''
     queued_ms: float = 0
-    was_kept: bool = False
+    was_reused: bool = False
     failure: exceptions.CarobforkError | None = None
 
-    def may_repeat(self) -> bool:
+    def can_retry(self) -> bool:
         """Tell whether it may be sent again after a run that failed."""
-        return self.route.is_repeatable and self.runs + 1 < self.route.attempts
+        return (
+            self.route.is_repeatable
+            and self.failed_attempts + 1 < self.route.max_attempts
+        )
 
 
 @attrs.frozen
@@ -155,16 +158,19 @@
     """
 
     def __init__(
-        self, codec: Codec, turn_desk: turns.TurnDesk, timer: clock.Clock
+        self, codec: Codec, turn_manager: turns.TurnManager, timer: clock.Clock
     ) -> None:
         """Start without connections."""
-        self.pool = pools.Pool(timer)
+        self.pool = connection_pools.ConnectionPool(timer)
         self._codec = codec
-        self._turns = turn_desk
+        self._turns = turn_manager
         self._timer = timer
 
     def exchange(
-        self, run: Run, worker: workers.Worker, caller: Caller
+        self,
+        context: RequestContext,
+        worker: workers.Worker,
+        response: ResponseWriter,
     ) -> None:
         """Send a request once and pass its answer on.
 
@@ -173,85 +179,92 @@
             has nothing but whole events.
         """
         started_ms = self._timer.now_ms()
-        connection = self.pool.take(worker, pools.most_idle_ms(run.route))
+        connection = self.pool.acquire(
+            worker, connection_pools.max_idle_ms(context.route)
+        )
         try:
-            answer = self._send(run, worker, connection)
-            self._pass_on(run, worker, connection, answer, caller)
+            answer = self._send(context, worker, connection)
+            self._relay_answer(context, worker, connection, answer, response)
         except BaseException:
             connection.close()
-            run.was_kept = connection.is_reused
+            context.was_reused = connection.is_reused
             raise
         now_ms = self._timer.now_ms()
-        worker.note_success(now_ms - started_ms, now_ms)
-        self._finish(worker, connection, answer)
+        worker.record_success(now_ms - started_ms, now_ms)
+        self._release_connection(worker, connection, answer)
 
-    def _finish(
+    def _release_connection(
         self,
         worker: workers.Worker,
-        connection: pools.Connection,
+        connection: connection_pools.Connection,
         answer: _Answer,
     ) -> None:
         if answer.keeps_open:
-            self.pool.give_back(worker, connection, answer.told.idle_ms)
+            self.pool.release(worker, connection, answer.told.idle_ms)
         else:
             connection.close()
 
     def _send(
-        self, run: Run, worker: workers.Worker, connection: pools.Connection
+        self,
+        context: RequestContext,
+        worker: workers.Worker,
+        connection: connection_pools.Connection,
     ) -> _Answer:
-        left_ms = run.until_ms - self._timer.now_ms()
-        if left_ms < LEAST_LEFT_MS:
+        left_ms = context.deadline_at_ms - self._timer.now_ms()
+        if left_ms < MIN_LEFT_MS:
             raise exceptions.ConnectionFailedError(
                 'too little time left', sent=False, step=_STEP
             )
         head = self._codec.encode_request(
-            run.request.head,
+            context.request.head,
             worker.instance,
             left_ms,
-            len(run.body),
-            run.log.last,
+            len(context.body),
+            context.event_log.last_id,
         )
-        run.is_sent = True
-        with _broken_as_failure(worker.instance):
+        context.is_sent = True
+        with _raise_as_failure(worker.instance):
             connection.sock.settimeout(None)
-            with _sending(connection, head + run.body):
-                answer = self._read_head(run, connection)
+            with _sending(connection, head + context.body):
+                answer = self._read_matching_answer(context, connection)
         if answer.told.load:
             running, waiting, _slots = answer.told.load
-            worker.note_load(running + waiting, self._timer.now_ms())
+            worker.update_load(running + waiting, self._timer.now_ms())
         if answer.told.not_run:
-            run.is_sent = run.runs > 0
-            self._drop_refusal(worker, connection, answer)
+            context.is_sent = context.failed_attempts > 0
+            self._raise_refusal(worker, connection, answer)
         return answer
 
-    def _drop_refusal(
+    def _raise_refusal(
         self,
         worker: workers.Worker,
-        connection: pools.Connection,
+        connection: connection_pools.Connection,
         answer: _Answer,
     ) -> None:
-        with _broken_as_refusal(worker.instance):
+        with _raise_as_refusal(worker.instance):
             connection.reader.read_body(answer.shape, MAX_ANSWER_BYTES)
-        self._finish(worker, connection, answer)
+        self._release_connection(worker, connection, answer)
         if answer.told.is_elsewhere:
-            worker.note_failure(self._timer.now_ms())
+            worker.record_failure(self._timer.now_ms())
         raise ServerRefusedError(
             f'the server answered {answer.told.status}, not run',
             step=_STEP,
             peer=worker.instance,
         )
 
-    def _read_head(self, run: Run, connection: pools.Connection) -> _Answer:
+    def _read_matching_answer(
+        self, context: RequestContext, connection: connection_pools.Connection
+    ) -> _Answer:
         """Return the answer to this request, skipping late ones."""
-        for _ in range(MOST_STRAY_ANSWERS + 1):
-            answer = self._next_head(run, connection)
-            if answer.told.is_for(run.call.attempt):
+        for _ in range(MAX_STRAY_ANSWERS + 1):
+            answer = self._read_answer(context, connection)
+            if answer.told.is_for(context.call.attempt):
                 return answer
             logger.warning(
                 'stray answer',
-                request=run.call.attempt,
+                request=context.call.attempt,
                 other=answer.told.attempt,
-                worker=run.worker,
+                worker=context.worker,
             )
             if not answer.told.attempt:
                 # It answers nobody; waiting for another would be vain.
@@ -259,71 +272,82 @@
             connection.reader.read_body(answer.shape, MAX_ANSWER_BYTES)
         raise framing.FramingError('no answer to the request', step=_STEP)
 
-    def _next_head(self, run: Run, connection: pools.Connection) -> _Answer:
-        head = connection.reader.read_head(framing.HEAD_BYTES)
+    def _read_answer(
+        self, context: RequestContext, connection: connection_pools.Connection
+    ) -> _Answer:
+        head = connection.reader.read_head(framing.MAX_HEAD_BYTES)
         if head is None:
             raise EOFError('the server closed the connection')
-        told = self._codec.decode_answer(head)
-        if told.is_encoded:
+        decoded = self._codec.decode_answer(head)
+        if decoded.is_encoded:
             raise framing.FramingError('the body is encoded', step=_STEP)
-        shape = framing.response_shape(head, run.request.head.first[0])
-        return _Answer(head, told, shape)
+        shape = framing.response_shape(head, context.request.head.first[0])
+        return _Answer(head, decoded, shape)
 
-    def _pass_on(
+    def _relay_answer(
         self,
-        run: Run,
+        context: RequestContext,
         worker: workers.Worker,
-        connection: pools.Connection,
+        connection: connection_pools.Connection,
         answer: _Answer,
-        caller: Caller,
+        response: ResponseWriter,
     ) -> None:
         status = answer.told.status
-        if run.route.kind == routes.Kind.stream and status < _OK:
-            self._pass_stream(run, worker, connection, answer, caller)
+        if (
+            context.route.kind == routes.Kind.stream
+            and status < _REDIRECT_STATUS
+        ):
+            self._relay_stream(context, worker, connection, answer, response)
             return
-        with _broken_as_failure(worker.instance):
+        with _raise_as_failure(worker.instance):
             body = connection.reader.read_body(answer.shape, MAX_ANSWER_BYTES)
         # Without the server's word that it did not run the call, some
         # statuses would promise too much.
-        is_unfit = status in _PROMISES or caller.has_begun
-        if is_unfit or (status >= _FAILED and run.may_repeat()):
+        is_unusable = status in _NOT_RUN_STATUSES or response.has_begun
+        if is_unusable or (
+            status >= _SERVER_ERROR_STATUS and context.can_retry()
+        ):
             raise exceptions.ConnectionFailedError(
                 f'the server answered {status}',
                 sent=True,
                 step=_STEP,
                 peer=worker.instance,
             )
-        caller.respond(status, answer.head.end_to_end(), body)
+        response.respond(status, answer.head.end_to_end(), body)
 
-    def _pass_stream(
+    def _relay_stream(
         self,
-        run: Run,
+        context: RequestContext,
         worker: workers.Worker,
-        connection: pools.Connection,
+        connection: connection_pools.Connection,
         answer: _Answer,
-        caller: Caller,
+        response: ResponseWriter,
     ) -> None:
-        if not caller.has_begun:
-            caller.begin(answer.told.status, answer.head.end_to_end())
+        if not response.has_begun:
+            response.begin(answer.told.status, answer.head.end_to_end())
         splitter = events.EventSplitter()
-        with _broken_as_failure(worker.instance):
-            for piece in connection.reader.pieces(answer.shape):
-                fresh = _accept(run, splitter.feed(piece), worker)
-                if fresh:
-                    caller.send(fresh)
-            if splitter.rest:
+        with _raise_as_failure(worker.instance):
+            for piece in connection.reader.iter_body(answer.shape):
+                new_bytes = _accept_new(context, splitter.feed(piece), worker)
+                if new_bytes:
+                    response.send(new_bytes)
+            if splitter.remainder:
                 raise EOFError('the stream ended inside an event')
-        if run.turn is not None:
-            self._turns.keep(run.turn, run.log)
-        caller.end()
+        if context.turn is not None:
+            self._turns.store(context.turn, context.event_log)
+        response.end()
 
 
-def _accept(
-    run: Run, found: list[events.Event], worker: workers.Worker
+def _accept_new(
+    context: RequestContext,
+    received: list[events.Event],
+    worker: workers.Worker,
 ) -> bytes:
     """Return the bytes of the events that are new to the caller."""
     try:
-        return b''.join(event.raw for event in found if run.log.accept(event))
+        return b''.join(
+            event.raw for event in received if context.event_log.accept(event)
+        )
     except events.EventOrderError as error:
         raise exceptions.ConnectionFailedError(
             error.message, sent=True, step=_STEP, peer=worker.instance
@@ -331,7 +355,7 @@
 
 
 @contextlib.contextmanager
-def _broken_as_failure(peer: str) -> Iterator[None]:
+def _raise_as_failure(peer: str) -> Iterator[None]:
     """Report a broken exchange as one that may have run."""
     try:
         yield
@@ -344,7 +368,7 @@
 
 
 @contextlib.contextmanager
-def _broken_as_refusal(peer: str) -> Iterator[None]:
+def _raise_as_refusal(peer: str) -> Iterator[None]:
     """Report a refusal whose body broke off: the head has said it."""
     try:
         yield
@@ -355,26 +379,28 @@
 
 
 @contextlib.contextmanager
-def _sending(connection: pools.Connection, payload: bytes) -> Iterator[None]:
+def _sending(
+    connection: connection_pools.Connection, payload: bytes
+) -> Iterator[None]:
     """Send a request; a long one while the answer is awaited.
 
     The connection is spoilt where the answer comes before the request was
     sent: the server may go on to read it.
     """
-    if len(payload) <= LONG_BODY_BYTES:
+    if len(payload) <= MAX_BLOCKING_SEND_BYTES:
         connection.sock.sendall(payload)
         yield
         return
-    writer = gevent.spawn(_send_quietly, connection.sock.sendall, payload)
+    writer = gevent.spawn(_send_in_background, connection.sock.sendall, payload)
     try:
         yield
     finally:
         if not writer.ready():
             writer.kill(block=False)
-            connection.is_spoilt = True
+            connection.has_partial_request = True
 
 
-def _send_quietly(send: Callable[[bytes], None], payload: bytes) -> None:
+def _send_in_background(send: Callable[[bytes], None], payload: bytes) -> None:
     try:
         send(payload)
     except OSError as error:
--- a/src/carobfork/gateway/framing.py
+++ b/src/carobfork/gateway/framing.py
@@ -13,7 +13,7 @@
 from carobfork import exceptions
 
 READ_BYTES = 65_536
-HEAD_BYTES = 65_536
+MAX_HEAD_BYTES = 65_536
 """Longest head of a backend server's response."""
 LINE_END = b'\r\n'
 HEAD_END = b'\r\n\r\n'
@@ -23,10 +23,10 @@
 )
 _HEX = 16
 _HEX_DIGITS = string.hexdigits.encode()
-_CHUNK_LINE_BYTES = 256
-_LENGTH = 'content-length'
-_ENCODING = 'transfer-encoding'
-_BODILESS = frozenset((204, 304))
+_MAX_CHUNK_LINE_BYTES = 256
+_CONTENT_LENGTH = 'content-length'
+_TRANSFER_ENCODING = 'transfer-encoding'
+_BODILESS_STATUSES = frozenset((204, 304))
 _HOP_BY_HOP = frozenset(
     (
         'connection',
@@ -36,9 +36,9 @@
         'proxy-connection',
         'te',
         'trailer',
-        _ENCODING,
+        _TRANSFER_ENCODING,
         'upgrade',
-        _LENGTH,
+        _CONTENT_LENGTH,
     )
 )
 
@@ -74,7 +74,7 @@
                 return text
         return default
 
-    def all(self, name: str) -> list[str]:
+    def get_all(self, name: str) -> list[str]:
         """Return all values of a header."""
         return [text for known, text, _ in self.fields if known == name]
 
@@ -113,13 +113,13 @@
 
 
 def _parse_field(line: str) -> tuple[str, str, str]:
-    name, colon, text = line.partition(':')
-    known = bool(colon and name) and _NAME_BYTES.issuperset(
+    name, colon, content = line.partition(':')
+    is_valid = bool(colon and name) and _NAME_BYTES.issuperset(
         name.encode('latin-1')
     )
-    if not known or '\n' in text or '\r' in text:
+    if not is_valid or '\n' in content or '\r' in content:
         raise FramingError('a header is malformed', step='parse head')
-    return name.lower(), text.strip(' \t'), name
+    return name.lower(), content.strip(' \t'), name
 
 
 @attrs.frozen
@@ -151,14 +151,14 @@
 
     :raises FramingError: its length is ambiguous.
     """
-    if method == 'HEAD' or int(head.first[1]) in _BODILESS:
+    if method == 'HEAD' or int(head.first[1]) in _BODILESS_STATUSES:
         return BodyShape(length=0)
     return _declared_shape(head)
 
 
 def _declared_shape(head: Head) -> BodyShape:
-    encodings = head.all(_ENCODING)
-    lengths = set(head.all(_LENGTH))
+    encodings = head.get_all(_TRANSFER_ENCODING)
+    lengths = set(head.get_all(_CONTENT_LENGTH))
     if encodings:
         if lengths or [text.lower() for text in encodings] != ['chunked']:
             raise FramingError('the body has two lengths', step='frame body')
@@ -204,7 +204,7 @@
         self._drop(end + len(HEAD_END))
         return parse_head(raw)
 
-    def pieces(self, shape: BodyShape) -> Iterator[bytes]:
+    def iter_body(self, shape: BodyShape) -> Iterator[bytes]:
         """Yield a body's bytes as they come.
 
         :raises FramingError: chunks are malformed.
@@ -225,7 +225,7 @@
         if (shape.length or 0) > limit:
             raise exceptions.TooLargeError('the body is too large', step='read')
         body = bytearray()
-        for piece in self.pieces(shape):
+        for piece in self.iter_body(shape):
             body.extend(piece)
             if len(body) > limit:
                 raise exceptions.TooLargeError(
@@ -246,15 +246,15 @@
         self.buffered.extend(received)
         return bool(received)
 
-    def _need(self) -> None:
+    def _fill_or_raise(self) -> None:
         if not self._fill():
             raise EOFError('the connection ended inside a body')
 
     def _drop(self, count: int) -> None:
         del self.buffered[:count]  # noqa: WPS420
 
-    def _take(self, most: int) -> bytes:
-        taken = bytes(self.buffered[:most])
+    def _take(self, limit: int) -> bytes:
+        taken = bytes(self.buffered[:limit])
         self._drop(len(taken))
         return taken
 
@@ -262,7 +262,7 @@
         left = length
         while left:
             if not self.buffered:
-                self._need()
+                self._fill_or_raise()
             piece = self._take(left)
             left -= len(piece)
             yield piece
@@ -292,16 +292,16 @@
 
     def _expect_line_end(self) -> None:
         while len(self.buffered) < len(LINE_END):
-            self._need()
+            self._fill_or_raise()
         if self._take(len(LINE_END)) != LINE_END:
             raise FramingError('a chunk has no end', step='frame body')
 
     def _line(self) -> bytes:
         end = self.buffered.find(LINE_END)
         while end < 0:
-            if len(self.buffered) > _CHUNK_LINE_BYTES:
+            if len(self.buffered) > _MAX_CHUNK_LINE_BYTES:
                 raise FramingError('a chunk line is too long', step='read')
-            self._need()
+            self._fill_or_raise()
             end = self.buffered.find(LINE_END)
         line = self._take(end)
         self._drop(len(LINE_END))
--- a/src/carobfork/gateway/placements.py
+++ b/src/carobfork/gateway/placements.py
@@ -8,34 +8,34 @@
 import zlib
 from collections.abc import Callable, Sequence
 
-from carobfork.gateway import calls, pools, workers
+from carobfork.gateway import calls, connection_pools, workers
 
-HOME_SHARE = 0.85
+MAX_HOME_LOAD_RATIO = 0.85
 """Of a home's slots that may be taken before a program goes elsewhere.
 
 Leaves room for the calls that other hosts grant at the same moment.
 """
-CALM_SHARE = 0.5
+LOW_LOAD_RATIO = 0.5
 """Of the slots, up to which servers show no difference."""
-KEPT_MS = pools.UNSAFE_IDLE_MS
-NEAR_SERVERS = 4
+RECENT_CONNECTION_MS = connection_pools.MAX_UNSAFE_IDLE_MS
+MIN_ZONE_WORKERS = 4
 """Servers of one failure domain that can be the homes of its programs."""
-CHOICES = 2
+SAMPLE_SIZE = 2
 """Servers that are compared: one of two is near the best of all, and spreads
 the calls that many hosts place by the same outdated view."""
-OVERFLOW_FACTOR = 2
+MAX_CALLS_PER_SLOT = 2
 """Calls a slot that a server gets at most, running or waiting there."""
 
-Placement = Callable[
+PlacementPolicy = Callable[
     [calls.Call, Sequence[workers.Worker], float], workers.Worker | None
 ]
-PLACEMENTS: dict[str, Placement] = {}  # noqa: WPS407
+PLACEMENTS: dict[str, PlacementPolicy] = {}  # noqa: WPS407
 
 
-def register(name: str) -> Callable[[Placement], Placement]:
+def register(name: str) -> Callable[[PlacementPolicy], PlacementPolicy]:
     """Register a policy under a name."""
 
-    def decorator(policy: Placement) -> Placement:  # noqa: WPS430
+    def decorator(policy: PlacementPolicy) -> PlacementPolicy:  # noqa: WPS430
         PLACEMENTS[name] = policy
         return policy
 
@@ -59,12 +59,24 @@
         for worker in candidates
         if worker.load(now_ms) < worker.entry.slots
     ]
-    calm = [worker for worker in free if _part(worker, now_ms) < CALM_SHARE]
-    kept = [worker for worker in calm if _is_kept(worker, now_ms)]
-    if kept:
-        return max(_nearest(kept), key=lambda worker: worker.kept_ms)
-    has_calm_near = any(worker.is_near for worker in calm)
-    return _draw(_nearest(free) if has_calm_near else free, now_ms)
+    lightly_loaded = [
+        worker
+        for worker in free
+        if _load_ratio(worker, now_ms) < LOW_LOAD_RATIO
+    ]
+    connected = [
+        worker
+        for worker in lightly_loaded
+        if _has_recent_connection(worker, now_ms)
+    ]
+    if connected:
+        return max(
+            _prefer_local(connected), key=lambda worker: worker.last_kept_ms
+        )
+    has_local_capacity = any(worker.is_zone_local for worker in lightly_loaded)
+    return _sample_least_loaded(
+        _prefer_local(free) if has_local_capacity else free, now_ms
+    )
 
 
 @register('home')
@@ -80,16 +92,16 @@
     """
     key = call.program if call.prompt_tokens else call.affinity
     if key:
-        near = [worker for worker in candidates if worker.is_near]
-        homes = near if len(near) >= NEAR_SERVERS else candidates
-        for worker in sorted(homes, key=_distance(key))[:2]:
-            if _part(worker, now_ms) < HOME_SHARE:
+        local = [worker for worker in candidates if worker.is_zone_local]
+        homes = local if len(local) >= MIN_ZONE_WORKERS else candidates
+        for worker in sorted(homes, key=_rendezvous_key(key))[:2]:
+            if _load_ratio(worker, now_ms) < MAX_HOME_LOAD_RATIO:
                 return worker
     return place_least_loaded(call, candidates, now_ms)
 
 
 @register('round_robin')
-def place_by_turns(
+def place_randomly(
     _call: calls.Call, candidates: Sequence[workers.Worker], _now_ms: float
 ) -> workers.Worker | None:
     """Choose any server, full or not: the baseline."""
@@ -104,35 +116,48 @@
     Answers a burst in which all slots are taken and waiting longer here
     would take more of the call's time than the server's queue.
     """
-    room = [
+    below_limit = [
         worker
         for worker in candidates
-        if worker.load(now_ms) < worker.entry.slots * OVERFLOW_FACTOR
+        if worker.load(now_ms) < worker.entry.slots * MAX_CALLS_PER_SLOT
     ]
-    return min(room, key=lambda worker: _part(worker, now_ms), default=None)
+    return min(
+        below_limit,
+        key=lambda worker: _load_ratio(worker, now_ms),
+        default=None,
+    )
 
 
-def _part(worker: workers.Worker, now_ms: float) -> float:
+def _load_ratio(worker: workers.Worker, now_ms: float) -> float:
     return worker.load(now_ms) / worker.entry.slots
 
 
-def _is_kept(worker: workers.Worker, now_ms: float) -> bool:
+def _has_recent_connection(worker: workers.Worker, now_ms: float) -> bool:
     """Tell whether a connection was used lately."""
-    return bool(worker.idle_connections and now_ms - worker.kept_ms < KEPT_MS)
+    return bool(
+        worker.idle_connections
+        and now_ms - worker.last_kept_ms < RECENT_CONNECTION_MS
+    )
 
 
-def _nearest(found: list[workers.Worker]) -> list[workers.Worker]:
+def _prefer_local(candidates: list[workers.Worker]) -> list[workers.Worker]:
     """Return the near ones, or all where none is."""
-    return [worker for worker in found if worker.is_near] or found
+    return [
+        worker for worker in candidates if worker.is_zone_local
+    ] or candidates
 
 
-def _draw(found: list[workers.Worker], now_ms: float) -> workers.Worker | None:
+def _sample_least_loaded(
+    candidates: list[workers.Worker], now_ms: float
+) -> workers.Worker | None:
     """Return the less loaded of a few drawn at random."""
-    drawn = random.sample(found, min(len(found), CHOICES))
-    return min(drawn, key=lambda worker: _part(worker, now_ms), default=None)
+    sample = random.sample(candidates, min(len(candidates), SAMPLE_SIZE))
+    return min(
+        sample, key=lambda worker: _load_ratio(worker, now_ms), default=None
+    )
 
 
-def _distance(key: str) -> Callable[[workers.Worker], int]:
+def _rendezvous_key(key: str) -> Callable[[workers.Worker], int]:
     """Return a rendezvous hash: a server's place in a key's own order."""
     seed = key.encode()
     return lambda worker: zlib.crc32(worker.instance.encode(), zlib.crc32(seed))
--- a/src/carobfork/gateway/relays.py
+++ b/src/carobfork/gateway/relays.py
@@ -12,18 +12,18 @@
     admissions,
     events,
     exchanges,
-    measures,
+    metrics,
     routes,
     turns,
     workers,
 )
 
-START_WAIT_MS = 800
+STARTUP_TIMEOUT_MS = 800
 """After its start a host is told the configuration within this time."""
-START_POLL_MS = 20
-START_RETRY_MS = 300
+STARTUP_POLL_INTERVAL_MS = 20
+STARTUP_RETRY_AFTER_MS = 300
 """For callers of a host that waits for its first configuration."""
-MOST_REFUSALS = 4
+MAX_REFUSALS = 4
 """Servers that may say 'not run', or be out of reach, for one request."""
 
 logger = structlog.get_logger(part='relay')
@@ -63,47 +63,47 @@
         self,
         codec: exchanges.Codec,
         table: workers.WorkerTable,
-        turn_desk: turns.TurnDesk,
+        turn_manager: turns.TurnManager,
         timer: clock.Clock,
         policy: str = 'home',
     ) -> None:
         """Start without a configuration."""
         self.routes: routes.RouteTable | None = None
-        self.exchanger = exchanges.Exchanger(codec, turn_desk, timer)
+        self.exchanger = exchanges.Exchanger(codec, turn_manager, timer)
         self._codec = codec
         self._table = table
-        self._turns = turn_desk
+        self._turns = turn_manager
         self._timer = timer
-        self.admission = admissions.Admission(table, timer, policy)
+        self.admission = admissions.AdmissionController(table, timer, policy)
         self._started_ms = timer.now_ms()
-        self.latencies = measures.Histogram()
-        self.queue_times = measures.Histogram()
+        self.latencies = metrics.Histogram()
+        self.queue_times = metrics.Histogram()
 
     def handle(
-        self, request: exchanges.Request, caller: exchanges.Caller
+        self, request: exchanges.Request, response: exchanges.ResponseWriter
     ) -> None:
         """Answer a request.
 
         :raises CarobforkError: there is no answer of a backend server.
         """
-        run = self._prepare(request)
-        left_ms = run.until_ms - self._timer.now_ms()
+        context = self._prepare(request)
+        left_ms = context.deadline_at_ms - self._timer.now_ms()
         timeout = gevent.Timeout(clock.to_seconds(max(left_ms, 0)))
         try:
             with timeout:
-                self._carry_out(run, caller)
+                self._forward(context, response)
         except gevent.Timeout as expired:
             if expired is not timeout:
                 raise
-            run.failure = _deadline_error(run)
-            raise run.failure from None
+            context.failure = _deadline_error(context)
+            raise context.failure from None
         except exceptions.CarobforkError as error:
-            run.failure = error
+            context.failure = error
             raise
         finally:
-            self._close(run)
+            self._close(context)
 
-    def _prepare(self, request: exchanges.Request) -> exchanges.Run:
+    def _prepare(self, request: exchanges.Request) -> exchanges.RequestContext:
         self._wait_for_routes()
         head = request.head
         route = self.routes.match(head.get('host'), head.first[1])
@@ -115,11 +115,11 @@
         wait_ms = route.timeout_ms
         if call.deadline_ms is not None:
             wait_ms = min(wait_ms, call.deadline_ms)
-        return exchanges.Run(
+        return exchanges.RequestContext(
             request,
             call,
             route,
-            route.draw_service(),
+            route.choose_service(),
             request.arrived_ms + wait_ms,
             events.EventLog(call.last_event if route.is_resumable else ''),
             request.body,
@@ -131,109 +131,129 @@
         Its callers have lost one host already: a refusal would cost them
         their next attempt, too.
         """
-        until_ms = self._started_ms + START_WAIT_MS
+        until_ms = self._started_ms + STARTUP_TIMEOUT_MS
         while self.routes is None:
             if self._timer.now_ms() > until_ms:
                 raise exceptions.NotRunError(
                     'no configuration yet',
                     step='route',
-                    retry_after_ms=START_RETRY_MS,
+                    retry_after_ms=STARTUP_RETRY_AFTER_MS,
                 )
-            gevent.sleep(clock.to_seconds(START_POLL_MS))
+            gevent.sleep(clock.to_seconds(STARTUP_POLL_INTERVAL_MS))
 
-    def _carry_out(self, run: exchanges.Run, caller: exchanges.Caller) -> None:
-        if run.route.kind == routes.Kind.stream and run.call.program:
-            self._open_turn(run)
-        while not self._try_once(run, caller):
+    def _forward(
+        self,
+        context: exchanges.RequestContext,
+        response: exchanges.ResponseWriter,
+    ) -> None:
+        if context.route.kind == routes.Kind.stream and context.call.program:
+            self._open_turn(context)
+        while not self._try_once(context, response):
             logger.info(
                 'trying another worker',
-                request=run.call.attempt,
-                worker=run.worker,
-                runs=run.runs,
-                refusals=run.refusals,
-                was_kept=run.was_kept,
-                last_event=run.log.last,
+                request=context.call.attempt,
+                worker=context.worker,
+                runs=context.failed_attempts,
+                refusals=context.refusals,
+                was_kept=context.was_reused,
+                last_event=context.event_log.last_id,
             )
 
-    def _open_turn(self, run: exchanges.Run) -> None:
+    def _open_turn(self, context: exchanges.RequestContext) -> None:
         """Reserve a turn and learn of the turns of other hosts."""
-        service = self.routes.services.get(run.service)
-        run.turn = self._turns.open(
-            run.call,
-            run.route,
+        service = self.routes.services.get(context.service)
+        context.turn = self._turns.open(
+            context.call,
+            context.route,
             service.event_tokens if service else 1,
-            run.request.body,
-            self.admission.preview(run),
+            context.request.body,
+            self.admission.preview(context),
         )
-        run.body = run.turn.history + run.request.body
-        if run.turn.open_turns is not None:
-            self._table.note_open_turns(run.turn.open_turns, run.turn.worker)
-
-    def _close(self, run: exchanges.Run) -> None:
-        if run.turn is not None:
-            self._turns.close(run.turn, run.log.count)
-        took_ms = self._timer.now_ms() - run.request.arrived_ms
+        context.body = context.turn.history + context.request.body
+        if context.turn.open_turns is not None:
+            self._table.update_open_turns(
+                context.turn.open_turns, context.turn.worker
+            )
+
+    def _close(self, context: exchanges.RequestContext) -> None:
+        if context.turn is not None:
+            self._turns.close(context.turn, context.event_log.count)
+        took_ms = self._timer.now_ms() - context.request.arrived_ms
         self.latencies.observe(took_ms)
-        self.queue_times.observe(run.queued_ms)
+        self.queue_times.observe(context.queued_ms)
         logger.info(
             'request ended',
-            request=run.call.attempt,
-            program=run.call.program,
-            route=run.route.name,
+            request=context.call.attempt,
+            program=context.call.program,
+            route=context.route.name,
             version=self.routes.version,
-            worker=run.worker,
-            runs=run.runs,
-            refusals=run.refusals,
-            was_kept=run.was_kept,
-            events=run.log.count,
-            queued_ms=round(run.queued_ms),
+            worker=context.worker,
+            runs=context.failed_attempts,
+            refusals=context.refusals,
+            was_kept=context.was_reused,
+            events=context.event_log.count,
+            queued_ms=round(context.queued_ms),
             took_ms=round(took_ms),
-            outcome=run.failure.outcome.value if run.failure else 'answered',
-            reason=str(run.failure or ''),
+            outcome=context.failure.outcome.value
+            if context.failure
+            else 'answered',
+            reason=str(context.failure or ''),
         )
 
-    def _try_once(self, run: exchanges.Run, caller: exchanges.Caller) -> bool:
+    def _try_once(
+        self,
+        context: exchanges.RequestContext,
+        response: exchanges.ResponseWriter,
+    ) -> bool:
         """Send the request to one server; tell whether it was answered."""
-        with self.admission.slot(run) as worker:
-            run.worker = worker.instance
-            if run.turn is not None:
-                self._turns.place(run.turn, run.worker)
+        with self.admission.slot(context) as worker:
+            context.worker = worker.instance
+            if context.turn is not None:
+                self._turns.update_worker(context.turn, context.worker)
             try:
-                self.exchanger.exchange(run, worker, caller)
+                self.exchanger.exchange(context, worker, response)
             except exchanges.ServerRefusedError as error:
-                self._note_refusal(run, error)
+                self._count_refusal(context, error)
             except exceptions.ConnectionFailedError as error:
-                worker.note_failure(self._timer.now_ms())
-                self.exchanger.pool.discard(worker)
-                self._note_failure(run, error)
+                worker.record_failure(self._timer.now_ms())
+                self.exchanger.pool.discard_idle(worker)
+                self._count_failure(context, error)
             else:
                 return True
-            run.avoided = run.avoided.union((worker.instance,))
+            context.avoided = context.avoided.union((worker.instance,))
         return False
 
-    def _note_refusal(
-        self, run: exchanges.Run, error: exceptions.CarobforkError
+    def _count_refusal(
+        self,
+        context: exchanges.RequestContext,
+        error: exceptions.CarobforkError,
     ) -> None:
-        run.refusals += 1
-        if run.refusals >= MOST_REFUSALS:
-            raise self.admission.refusal(run, error.message) from error
+        context.refusals += 1
+        if context.refusals >= MAX_REFUSALS:
+            raise self.admission.refusal(context, error.message) from error
 
-    def _note_failure(
-        self, run: exchanges.Run, error: exceptions.ConnectionFailedError
+    def _count_failure(
+        self,
+        context: exchanges.RequestContext,
+        error: exceptions.ConnectionFailedError,
     ) -> None:
         """Count a run that broke off; go on only where that is allowed."""
         if not error.sent:
-            self._note_refusal(run, error)
+            self._count_refusal(context, error)
             return
-        left_ms = run.until_ms - self._timer.now_ms()
-        if not run.may_repeat() or left_ms < exchanges.LEAST_LEFT_MS:
+        left_ms = context.deadline_at_ms - self._timer.now_ms()
+        if not context.can_retry() or left_ms < exchanges.MIN_LEFT_MS:
             raise BrokenAnswerError(
-                error.message, step='relay', peer=run.worker
+                error.message, step='relay', peer=context.worker
             ) from error
-        run.runs += 1
+        context.failed_attempts += 1
 
 
-def _deadline_error(run: exchanges.Run) -> exceptions.CarobforkError:
-    if run.is_sent:
-        return DeadlineError('the time was up', step='relay', peer=run.worker)
+def _deadline_error(
+    context: exchanges.RequestContext,
+) -> exceptions.CarobforkError:
+    if context.is_sent:
+        return DeadlineError(
+            'the time was up', step='relay', peer=context.worker
+        )
     return exceptions.NotRunError('the time was up', step='wait')
--- a/src/carobfork/gateway/routes.py
+++ b/src/carobfork/gateway/routes.py
@@ -44,9 +44,9 @@
     kind: Kind
     backends: tuple[Backend, ...]
     timeout_ms: float = DEFAULT_TIMEOUT_MS
-    goal_ms: float = 0
+    target_latency_ms: float = 0
     rank: int = 0
-    attempts: int = 1
+    max_attempts: int = 1
     is_resumable: bool = False
     is_retained: bool = False
     retain_ms: float = 0
@@ -58,7 +58,7 @@
             return self.is_resumable
         return self.kind == Kind.safe
 
-    def draw_service(self) -> str:
+    def choose_service(self) -> str:
         """Return one of the services, by weight."""
         if len(self.backends) == 1:
             return self.backends[0].service
--- a/src/carobfork/gateway/servers.py
+++ b/src/carobfork/gateway/servers.py
@@ -16,13 +16,13 @@
 from carobfork import clock, exceptions
 from carobfork.gateway import exchanges, framing, relays, routes
 
-LINGER_MS = 500
+LINGER_TIMEOUT_MS = 500
 """After a refusal before the body was read: so that the caller reads it."""
 WRITE_TIMEOUT_MS = 5000
 """A caller that reads nothing for so long is gone."""
-UNFRAMED_MS = 5000
+BODY_TIMEOUT_MS = 5000
 """For the rest of a body after its head."""
-PHRASES = {  # noqa: WPS407
+REASON_PHRASES = {  # noqa: WPS407
     200: 'OK',
     400: 'Bad Request',
     402: 'Payment Required',
@@ -46,20 +46,22 @@
     code = 'caller_gone'
 
 
-class CallerEnd:
+class SocketResponseWriter:
     """Write one response to a caller.
 
     :param sock: the caller's connection.
     :param closes: whether the connection ends after the response.
     """
 
-    def __init__(self, sock: socket.socket, closes: Callable[[], bool]) -> None:
+    def __init__(
+        self, sock: socket.socket, should_close: Callable[[], bool]
+    ) -> None:
         """Start with nothing sent."""
         self.has_begun = False
         self.is_complete = False
-        self.closed_after = False
+        self.closes_connection = False
         self._sock = sock
-        self._closes = closes
+        self._should_close = should_close
         self._head = b''
 
     def respond(
@@ -91,10 +93,10 @@
         self.is_complete = True
 
     def _encode(self, status: int, fields: list[tuple[str, str]]) -> bytes:
-        self.closed_after = self._closes()
-        if self.closed_after:
+        self.closes_connection = self._should_close()
+        if self.closes_connection:
             fields = [*fields, ('Connection', 'close')]
-        phrase = PHRASES.get(status, 'Status')
+        phrase = REASON_PHRASES.get(status, 'Status')
         return framing.encode_head(f'HTTP/1.1 {status} {phrase}', fields)
 
     def _write(self, payload: bytes) -> None:
@@ -138,7 +140,7 @@
         self._relay = relay
         self._timer = timer
         self._idle: set[socket.socket] = set()
-        self._server = server.StreamServer(address, self._serve)
+        self._server = server.StreamServer(address, self._serve_connection)
 
     @property
     def limits(self) -> routes.CallerLimits:
@@ -159,12 +161,12 @@
             with contextlib.suppress(OSError):
                 sock.shutdown(sockets.SHUT_RDWR)
 
-    def _serve(self, sock: socket.socket, _address: tuple) -> None:
+    def _serve_connection(self, sock: socket.socket, _address: tuple) -> None:
         self.counts.connections += 1
         sock.setsockopt(sockets.IPPROTO_TCP, sockets.TCP_NODELAY, 1)
         reader = framing.Reader(sock)
         try:
-            while self._serve_one(sock, reader):
+            while self._serve_request(sock, reader):
                 sock.settimeout(None)
         except CallerGoneError as error:
             logger.debug('caller gone', reason=error.message)
@@ -174,15 +176,17 @@
             self.counts.connections -= 1
             sock.close()
 
-    def _serve_one(self, sock: socket.socket, reader: framing.Reader) -> bool:
+    def _serve_request(
+        self, sock: socket.socket, reader: framing.Reader
+    ) -> bool:
         """Serve one request; tell whether another may follow."""
         # Callers that stay connected would not ask where to go instead.
-        caller = CallerEnd(sock, lambda: not self._is_ready())
+        response = SocketResponseWriter(sock, lambda: not self._is_ready())
         try:
             request = self._read(sock, reader)
         except exceptions.BadRequestError as error:
-            caller.closed_after = True
-            self._refuse(caller, error, closes=True)
+            response.closes_connection = True
+            self._refuse(response, error, closes=True)
             _linger(sock)
             return False
         if request is None:
@@ -190,33 +194,35 @@
         sock.settimeout(clock.to_seconds(WRITE_TIMEOUT_MS))
         self.counts.in_progress += 1
         try:
-            with _watched(sock):
-                self._answer(request, caller)
+            with _interrupt_on_disconnect(sock):
+                self._answer(request, response)
         finally:
             self.counts.in_progress -= 1
         return (
-            caller.is_complete
-            and not caller.closed_after
+            response.is_complete
+            and not response.closes_connection
             and request.head.keeps_open
         )
 
-    def _answer(self, request: exchanges.Request, caller: CallerEnd) -> None:
+    def _answer(
+        self, request: exchanges.Request, response: SocketResponseWriter
+    ) -> None:
         try:
-            self._relay.handle(request, caller)
+            self._relay.handle(request, response)
         except CallerGoneError:
             raise
         except exceptions.CarobforkError as error:
-            if caller.has_begun:
+            if response.has_begun:
                 self.counts.broken += 1
                 logger.info('response broken off', reason=str(error))
                 return
-            self._refuse(caller, error)
+            self._refuse(response, error)
         else:
             self.counts.answered += 1
 
     def _refuse(
         self,
-        caller: CallerEnd,
+        response: SocketResponseWriter,
         error: exceptions.CarobforkError,
         closes: bool = False,
     ) -> None:
@@ -236,7 +242,7 @@
             reason=str(error),
             retry_after_ms=error.retry_after_ms,
         )
-        caller.respond(error.http_status, fields, f'{error}\n'.encode())
+        response.respond(error.http_status, fields, f'{error}\n'.encode())
 
     def _read(
         self, sock: socket.socket, reader: framing.Reader
@@ -248,7 +254,7 @@
         limits = self.limits
         if not reader.buffered and not self._wait_for_byte(sock, reader):
             return None
-        with _within(limits.head_ms):
+        with _time_limit(limits.head_ms):
             head = reader.read_head(limits.head_bytes)
         if head is None:
             return None
@@ -257,7 +263,7 @@
             raise exceptions.TooLargeError('the body is too large', step='read')
         if head.get('expect').lower() == '100-continue':
             sock.sendall(b'HTTP/1.1 100 Continue\r\n\r\n')
-        with _within(max(limits.head_ms, UNFRAMED_MS)):
+        with _time_limit(max(limits.head_ms, BODY_TIMEOUT_MS)):
             body = reader.read_body(shape, limits.body_bytes)
         return exchanges.Request(head, body, self._timer.now_ms())
 
@@ -277,7 +283,7 @@
 
 
 @contextlib.contextmanager
-def _within(span_ms: float) -> Iterator[None]:
+def _time_limit(span_ms: float) -> Iterator[None]:
     timeout = gevent.Timeout(clock.to_seconds(span_ms))
     try:
         with timeout:
@@ -291,21 +297,21 @@
 
 
 @contextlib.contextmanager
-def _watched(sock: socket.socket) -> Iterator[None]:
+def _interrupt_on_disconnect(sock: socket.socket) -> Iterator[None]:
     """Interrupt the block when the peer closes its connection."""
     watcher = gevent.get_hub().loop.io(sock.fileno(), 1)
     greenlet = gevent.getcurrent()
 
-    def look() -> None:  # noqa: WPS430
+    def on_readable() -> None:  # noqa: WPS430
         if _is_closed(sock):
             watcher.stop()
-            gone = CallerGoneError('the caller left', step='relay')
-            gevent.kill(greenlet, gone)
+            error = CallerGoneError('the caller left', step='relay')
+            gevent.kill(greenlet, error)
         else:
             # The next request is here already; it is read in its turn.
             watcher.stop()
 
-    watcher.start(look)
+    watcher.start(on_readable)
     try:
         yield
     finally:
@@ -327,6 +333,8 @@
     """Read what is left, so that closing does not reset the response."""
     with contextlib.suppress(OSError):
         sock.shutdown(sockets.SHUT_WR)
-        with gevent.Timeout(clock.to_seconds(LINGER_MS), exception=False):
+        with gevent.Timeout(
+            clock.to_seconds(LINGER_TIMEOUT_MS), exception=False
+        ):
             while sock.recv(framing.READ_BYTES):
                 gevent.sleep(0)
--- a/src/carobfork/gateway/turns.py
+++ b/src/carobfork/gateway/turns.py
@@ -14,7 +14,7 @@
 logger = structlog.get_logger(part='turns')
 
 
-class Records(Protocol):
+class TurnStore(Protocol):
     """Where turns and charges are kept."""
 
     def begin(self, message: messages.Begin) -> messages.Begun:
@@ -54,7 +54,9 @@
         """Whether the turn counts in a budget."""
         return bool(self.call.program) and self.call.budget_tokens is not None
 
-    def charge(self, tokens: int, is_settled: bool) -> messages.Charge | None:
+    def make_charge(
+        self, tokens: int, is_settled: bool
+    ) -> messages.Charge | None:
         """Return what the turn counts for."""
         if not self.is_charged:
             return None
@@ -67,15 +69,15 @@
         )
 
 
-class TurnDesk:
+class TurnManager:
     """Open and close turns.
 
     :param records: where they are kept.
     """
 
-    def __init__(self, records: Records) -> None:
+    def __init__(self, records: TurnStore) -> None:
         """Keep the records' client."""
-        self._records = records
+        self._store = records
 
     def open(
         self,
@@ -110,50 +112,52 @@
             )
         return turn
 
-    def place(self, turn: Turn, worker: str) -> None:
+    def update_worker(self, turn: Turn, worker: str) -> None:
         """Tell other hosts where a turn runs, unless that was announced."""
         if turn.is_charged and worker != turn.worker:
             turn.worker = worker
-            self._records.place(turn.call.attempt, worker)
+            self._store.place(turn.call.attempt, worker)
 
-    def keep(self, turn: Turn, log: events.EventLog) -> None:
+    def store(self, turn: Turn, event_log: events.EventLog) -> None:
         """Keep a turn that ended whole, before its caller learns of it.
 
         :raises NotRunError: too few store hosts have it.
         """
         if turn.route.is_retained:
-            kept = messages.Turn(
+            record = messages.Turn(
                 turn.call.attempt,
                 turn.call.previous_turn,
                 turn.request,
-                log.content(),
+                event_log.content(),
             )
-            self._records.finish(
+            self._store.finish(
                 messages.Finish(
-                    turn.charge(log.count * turn.event_tokens, True),
-                    kept,
+                    turn.make_charge(event_log.count * turn.event_tokens, True),
+                    record,
                     turn.route.retain_ms,
                 )
             )
             turn.is_open = False
 
-    def close(self, turn: Turn, count: int) -> None:
+    def close(self, turn: Turn, event_count: int) -> None:
         """Settle what a turn used; its caller doesn't wait for that.
 
         :param count: events that the caller was given.
         """
-        charge = turn.charge(count * turn.event_tokens, is_settled=True)
+        charge = turn.make_charge(
+            event_count * turn.event_tokens, is_settled=True
+        )
         if turn.is_open and charge is not None:
             turn.is_open = False
-            gevent.spawn(self._records.settle, messages.Finish(charge))
+            gevent.spawn(self._store.settle, messages.Finish(charge))
 
     def _begin(self, turn: Turn, previous: str) -> messages.Begun:
-        charge = turn.charge(turn.call.output_tokens, is_settled=False)
+        charge = turn.make_charge(turn.call.output_tokens, is_settled=False)
         message = messages.Begin(
             charge, previous, turn.route.retain_ms, worker=turn.worker
         )
         try:
-            return self._records.begin(message)
+            return self._store.begin(message)
         except exceptions.CarobforkError:
             # The reservation may stand on some hosts.
             self.close(turn, 0)
--- a/src/carobfork/gateway/workers.py
+++ b/src/carobfork/gateway/workers.py
@@ -13,29 +13,29 @@
 
 NEVER_MS = float('-inf')
 """Before all times."""
-HOLD_MS = 1500
+UNLISTED_TTL_MS = 1500
 """How long unregistered servers may serve where no other is left.
 
 Below the time that a server goes on serving after its entry is gone.
 """
-RETURN_MS = 2500
+RELISTING_TIMEOUT_MS = 2500
 """Entries that lapsed in an outage are back about 2 s after its end."""
-FIRST_AVOID_MS = 250
-LONGEST_AVOID_MS = 4000
+MIN_AVOID_MS = 250
+MAX_AVOID_MS = 4000
 """A failing server is tried again within a few seconds: it may be back."""
-SHARED_FRESH_MS = 1200
+REMOTE_LOAD_TTL_MS = 1200
 """Sums of all hosts' calls are older than a few beats after this."""
-SUSPECTING_HOSTS = 2
+MIN_SUSPECTING_HOSTS = 2
 """Other hosts that must suspect a server: one alone may be cut off from it."""
-OWN_WORD_MS = 500
+OWN_SUCCESS_TTL_MS = 500
 """A call that a server has just served says more than what others suspect."""
-DOUBT_MS = 5000
+RECENT_FAILURE_MS = 5000
 """After a failure, seen here or by any other host: servers that go down and
 up by turns fail again within a few seconds."""
-COUNT_FRESH_MS = 250
+OPEN_TURNS_TTL_MS = 250
 """A count of open turns stands against sums that are older than a beat."""
-_DOUBLINGS = 5
-DURATION_PART = 0.1
+_MAX_DOUBLINGS = 5
+DURATION_MEAN_WEIGHT = 0.1
 """Weight of the newest duration in the mean of a server's calls."""
 
 logger = structlog.get_logger(part='workers')
@@ -76,19 +76,19 @@
 
     entry: Entry
     in_flight: int = 0
-    elsewhere: int = 0
-    elsewhere_at_ms: float = NEVER_MS
-    failures: int = 0
+    remote_in_flight: int = 0
+    remote_updated_ms: float = NEVER_MS
+    consecutive_failures: int = 0
     avoided_until_ms: float = NEVER_MS
-    removed_ms: float | None = None
+    unlisted_since_ms: float | None = None
     idle_connections: int = 0
-    kept_ms: float = NEVER_MS
-    counted_ms: float = NEVER_MS
-    served_ms: float = NEVER_MS
-    suspected_ms: float = NEVER_MS
-    doubted_ms: float = NEVER_MS
-    mean_ms: float = 0
-    is_near: bool = False
+    last_kept_ms: float = NEVER_MS
+    open_turns_updated_ms: float = NEVER_MS
+    last_success_ms: float = NEVER_MS
+    last_suspected_ms: float = NEVER_MS
+    last_failure_ms: float = NEVER_MS
+    mean_duration_ms: float = 0
+    is_zone_local: bool = False
 
     @property
     def instance(self) -> str:
@@ -97,47 +97,51 @@
 
     def load(self, now_ms: float) -> int:
         """Return the calls that it is believed to have."""
-        if now_ms - self.elsewhere_at_ms > SHARED_FRESH_MS:
+        if now_ms - self.remote_updated_ms > REMOTE_LOAD_TTL_MS:
             return self.in_flight
-        return self.in_flight + self.elsewhere
+        return self.in_flight + self.remote_in_flight
 
-    def note_load(self, total: int, now_ms: float) -> None:
+    def update_load(self, total_calls: int, now_ms: float) -> None:
         """Take the number of calls that the server tells itself."""
-        self.elsewhere = max(0, total - self.in_flight)
-        self.elsewhere_at_ms = now_ms
+        self.remote_in_flight = max(0, total_calls - self.in_flight)
+        self.remote_updated_ms = now_ms
 
     def is_avoided(self, now_ms: float) -> bool:
         """Tell whether it has failed calls of this host or of others."""
         if self.avoided_until_ms > now_ms:
             return True
-        is_suspected = now_ms - self.suspected_ms < SHARED_FRESH_MS
-        return is_suspected and now_ms - self.served_ms > OWN_WORD_MS
+        is_suspected = now_ms - self.last_suspected_ms < REMOTE_LOAD_TTL_MS
+        return (
+            is_suspected and now_ms - self.last_success_ms > OWN_SUCCESS_TTL_MS
+        )
 
-    def is_doubtful(self, now_ms: float) -> bool:
+    def has_recent_failure(self, now_ms: float) -> bool:
         """Tell whether calls that run at most once should go elsewhere."""
-        return now_ms - self.doubted_ms < DOUBT_MS
+        return now_ms - self.last_failure_ms < RECENT_FAILURE_MS
 
-    def note_success(self, duration_ms: float, now_ms: float) -> None:
+    def record_success(self, duration_ms: float, now_ms: float) -> None:
         """Count a call that was served."""
-        self.served_ms = now_ms
-        self.failures = 0
-        if self.mean_ms:
-            change = (duration_ms - self.mean_ms) * DURATION_PART
-            self.mean_ms += change
+        self.last_success_ms = now_ms
+        self.consecutive_failures = 0
+        if self.mean_duration_ms:
+            change = (
+                duration_ms - self.mean_duration_ms
+            ) * DURATION_MEAN_WEIGHT
+            self.mean_duration_ms += change
         else:
-            self.mean_ms = duration_ms
+            self.mean_duration_ms = duration_ms
 
-    def note_failure(self, now_ms: float) -> None:
+    def record_failure(self, now_ms: float) -> None:
         """Keep new calls away for a while, longer each time."""
-        doublings = min(self.failures, _DOUBLINGS)
-        pause_ms = min(FIRST_AVOID_MS * 2**doublings, LONGEST_AVOID_MS)
-        self.failures += 1
-        self.doubted_ms = now_ms
+        doublings = min(self.consecutive_failures, _MAX_DOUBLINGS)
+        pause_ms = min(MIN_AVOID_MS * 2**doublings, MAX_AVOID_MS)
+        self.consecutive_failures += 1
+        self.last_failure_ms = now_ms
         self.avoided_until_ms = now_ms + pause_ms
         logger.info(
             'worker avoided',
             worker=self.instance,
-            failures=self.failures,
+            failures=self.consecutive_failures,
             pause_ms=pause_ms,
         )
 
@@ -150,12 +154,12 @@
 
     def __init__(self, timer: clock.Clock) -> None:
         """Start without servers."""
-        self.is_known = False
+        self.is_loaded = False
         self._timer = timer
         self._workers: dict[str, Worker] = {}
-        self._returning_until_ms = NEVER_MS
-        self._waiting: Mapping[str, int] = {}
-        self._shared_ms = NEVER_MS
+        self._relisting_until_ms = NEVER_MS
+        self._remote_waiting: Mapping[str, int] = {}
+        self._remote_updated_ms = NEVER_MS
         self._zone = ''
 
     def __iter__(self) -> Iterator[Worker]:
@@ -171,26 +175,26 @@
         if zone != self._zone:
             self._zone = zone
             for worker in self._workers.values():
-                worker.is_near = worker.entry.zone == zone
+                worker.is_zone_local = worker.entry.zone == zone
 
-    def apply(self, entries: Iterable[Entry], was_away: bool) -> None:
+    def apply(self, entries: Iterable[Entry], was_unreachable: bool) -> None:
         """Take over the registry's entries.
 
         :param was_away: whether the registry was out of reach before.
         """
         now_ms = self._timer.now_ms()
-        if was_away and self.is_known:
-            self._returning_until_ms = now_ms + RETURN_MS
-        self.is_known = True
+        if was_unreachable and self.is_loaded:
+            self._relisting_until_ms = now_ms + RELISTING_TIMEOUT_MS
+        self.is_loaded = True
         listed = {entry.instance: entry for entry in entries}
         for entry in listed.values():
             self._apply_entry(entry)
         for worker in list(self._workers.values()):
             if worker.instance not in listed:
-                self._note_missing(worker, now_ms)
+                self._mark_unlisted(worker, now_ms)
 
-    def note_open_turns(
-        self, open_turns: Mapping[str, int], announced: str
+    def update_open_turns(
+        self, open_turns: Mapping[str, int], announced_worker: str
     ) -> None:
         """Take the turns of all hosts as store hosts know them now.
 
@@ -202,13 +206,13 @@
         """
         now_ms = self._timer.now_ms()
         for worker in self._workers.values():
-            total = open_turns.get(worker.instance, 0)
-            total -= worker.instance == announced
-            if total > 0 or worker.counted_ms > NEVER_MS:
-                worker.note_load(total, now_ms)
-                worker.counted_ms = now_ms
+            total_turns = open_turns.get(worker.instance, 0)
+            total_turns -= worker.instance == announced_worker
+            if total_turns > 0 or worker.open_turns_updated_ms > NEVER_MS:
+                worker.update_load(total_turns, now_ms)
+                worker.open_turns_updated_ms = now_ms
 
-    def note_shared(
+    def update_remote_load(
         self, in_flight: Mapping[str, int], waiting: Mapping[str, int]
     ) -> None:
         """Take the sums of all other hosts' calls.
@@ -217,34 +221,36 @@
         :param waiting: calls that wait for a slot, by service.
         """
         now_ms = self._timer.now_ms()
-        self._shared_ms = now_ms
-        self._waiting = waiting
+        self._remote_updated_ms = now_ms
+        self._remote_waiting = waiting
         for worker in self._workers.values():
             # Sums are older than counts of open turns.
-            if now_ms - worker.counted_ms > COUNT_FRESH_MS:
-                worker.elsewhere = in_flight.get(worker.instance, 0)
-                worker.elsewhere_at_ms = now_ms
+            if now_ms - worker.open_turns_updated_ms > OPEN_TURNS_TTL_MS:
+                worker.remote_in_flight = in_flight.get(worker.instance, 0)
+                worker.remote_updated_ms = now_ms
 
     @property
-    def is_awaited(self) -> bool:
+    def has_remote_waiting(self) -> bool:
         """Whether calls of any service wait at other hosts."""
-        return any(self.waiting(service) for service in self._waiting)
+        return any(
+            self.remote_waiting(service) for service in self._remote_waiting
+        )
 
-    def waiting(self, service: str) -> int:
+    def remote_waiting(self, service: str) -> int:
         """Return the calls that wait at other hosts, as last told."""
-        if self._timer.now_ms() - self._shared_ms > SHARED_FRESH_MS:
+        if self._timer.now_ms() - self._remote_updated_ms > REMOTE_LOAD_TTL_MS:
             return 0
-        return self._waiting.get(service, 0)
+        return self._remote_waiting.get(service, 0)
 
-    def note_suspects(self, suspects: Mapping[str, int]) -> None:
+    def update_suspects(self, suspects: Mapping[str, int]) -> None:
         """Take how many other hosts each server has failed."""
         now_ms = self._timer.now_ms()
         for worker in self._workers.values():
             count = suspects.get(worker.instance, 0)
-            is_suspected = count >= SUSPECTING_HOSTS
-            worker.suspected_ms = now_ms if is_suspected else NEVER_MS
+            is_suspected = count >= MIN_SUSPECTING_HOSTS
+            worker.last_suspected_ms = now_ms if is_suspected else NEVER_MS
             if count:
-                worker.doubted_ms = now_ms
+                worker.last_failure_ms = now_ms
 
     def suspects(self) -> list[str]:
         """Return the servers that have just failed calls of this host."""
@@ -275,7 +281,9 @@
             for worker in self._workers.values()
             if worker.entry.service == service and not worker.entry.is_draining
         ]
-        listed = [worker for worker in found if worker.removed_ms is None]
+        listed = [
+            worker for worker in found if worker.unlisted_since_ms is None
+        ]
         ready = [worker for worker in listed if not worker.is_avoided(now_ms)]
         if ready or listed:
             return ready or listed
@@ -284,9 +292,9 @@
         ]
 
     def _may_still_serve(self, worker: Worker, now_ms: float) -> bool:
-        if now_ms < self._returning_until_ms:
+        if now_ms < self._relisting_until_ms:
             return True
-        return now_ms - worker.removed_ms < HOLD_MS
+        return now_ms - worker.unlisted_since_ms < UNLISTED_TTL_MS
 
     def _apply_entry(self, entry: Entry) -> None:
         known = self._workers.get(entry.instance)
@@ -301,7 +309,7 @@
             # Calls of the process before give their slots back to its own
             # object, which is not looked at any more.
             self._workers[entry.instance] = Worker(
-                entry, is_near=entry.zone == self._zone
+                entry, is_zone_local=entry.zone == self._zone
             )
             return
         if known.entry.is_draining != entry.is_draining:
@@ -310,14 +318,14 @@
                 worker=entry.instance,
             )
         known.entry = entry
-        known.removed_ms = None
+        known.unlisted_since_ms = None
 
-    def _note_missing(self, worker: Worker, now_ms: float) -> None:
-        if worker.removed_ms is None:
-            worker.removed_ms = now_ms
+    def _mark_unlisted(self, worker: Worker, now_ms: float) -> None:
+        if worker.unlisted_since_ms is None:
+            worker.unlisted_since_ms = now_ms
             logger.info(
                 'worker gone', worker=worker.instance, calls=worker.in_flight
             )
-        is_old = not self._may_still_serve(worker, now_ms)
-        if is_old and not worker.in_flight:
+        is_expired = not self._may_still_serve(worker, now_ms)
+        if is_expired and not worker.in_flight:
             self._workers.pop(worker.instance)
--- a/src/carobfork/platform/decoding.py
+++ b/src/carobfork/platform/decoding.py
@@ -60,9 +60,9 @@
         backends=tuple(backends),
         timeout_ms=entry.get('TimeoutMs') or routes.DEFAULT_TIMEOUT_MS,
         # The time within which an answer earns its full credit.
-        goal_ms=entry.get('GoalMs') or 0,
+        target_latency_ms=entry.get('GoalMs') or 0,
         rank=entry.get('Priority') or 0,
-        attempts=entry.get('Attempts') or 1,
+        max_attempts=entry.get('Attempts') or 1,
         is_resumable=bool(entry.get('Resumable')),
         is_retained=bool(entry.get('Retain')),
         retain_ms=(entry.get('RetainS') or 0) * clock.MS_PER_SECOND,
--- a/src/carobfork/platform/endpoints.py
+++ b/src/carobfork/platform/endpoints.py
@@ -67,7 +67,7 @@
             status, kind, body = _NOT_FOUND, 'text/plain', b'no such page\n'
         else:
             status, kind, body = endpoint(dict(parse_qsl(asked.query)))
-        phrase = servers.PHRASES.get(status, 'Status')
+        phrase = servers.REASON_PHRASES.get(status, 'Status')
         fields = [('Content-Type', kind), ('Content-Length', str(len(body)))]
         sock.sendall(
             framing.encode_head(f'HTTP/1.1 {status} {phrase}', fields) + body
--- a/src/carobfork/platform/heads.py
+++ b/src/carobfork/platform/heads.py
@@ -26,13 +26,13 @@
         deadline_ms=_number(head.get(names.DEADLINE)),
         program=head.get(names.PROGRAM),
         session=head.get(names.SESSION),
-        finish_ms=_number(head.get(names.FINISH)),
+        program_deadline_ms=_number(head.get(names.FINISH)),
         budget_tokens=_whole(head.get(names.BUDGET)),
         prompt_tokens=_whole(prompt) or 0,
         output_tokens=_whole(output) or 0,
         previous_turn=head.get(names.PREVIOUS),
         last_event=head.get(names.LAST_EVENT),
-        affinity=_cookie(head.all('cookie'), names.AFFINITY_COOKIE),
+        affinity=_cookie(head.get_all('cookie'), names.AFFINITY_COOKIE),
         prefix=_prefix(head.get(names.PREFIX)),
     )
 
--- a/src/carobfork/platform/objects.py
+++ b/src/carobfork/platform/objects.py
@@ -169,7 +169,7 @@
             connected.settimeout(clock.to_seconds(timeout_ms))
             connected.sendall(head + payload)
             reader = framing.Reader(connected)
-            answer = reader.read_head(framing.HEAD_BYTES)
+            answer = reader.read_head(framing.MAX_HEAD_BYTES)
             if answer is None:
                 raise EOFError('no answer')
             shape = framing.response_shape(answer, method)
--- a/src/carobfork/roles/front.py
+++ b/src/carobfork/roles/front.py
@@ -9,7 +9,7 @@
 from carobfork.gateway import (
     admissions,
     directories,
-    measures,
+    metrics,
     relays,
     servers,
     turns,
@@ -58,7 +58,7 @@
             self.links, known.losses, known.node, known.zone, self.timer
         )
         self.relay = relays.Relay(
-            heads, self.table, turns.TurnDesk(self.storage), self.timer
+            heads, self.table, turns.TurnManager(self.storage), self.timer
         )
         self.server = servers.Server(
             known.front, self.relay, self.timer, self.is_ready
@@ -89,7 +89,7 @@
             self.spawn(functools.partial(self._recall_until_known, seed))
         self.repeat(self.updates.check, CHECK_EVERY_MS)
         self.spawn(self.relay.admission.run)
-        self.repeat(self.relay.exchanger.pool.trim, TRIM_EVERY_MS)
+        self.repeat(self.relay.exchanger.pool.close_expired, TRIM_EVERY_MS)
         for endpoint in self._endpoints:
             endpoint.start()
         self.server.start()
@@ -109,7 +109,7 @@
         """Tell whether callers should come here."""
         return (
             self.relay.routes is not None
-            and self.table.is_known
+            and self.table.is_loaded
             and not self.server.is_leaving
             and self.storage.is_reachable
         )
@@ -123,7 +123,7 @@
         gevent.sleep(clock.to_seconds(leave_ms))
         self.server.stop_accepting()
         while self.server.counts.in_progress and self.timer.now_ms() < until_ms:
-            gevent.sleep(clock.to_seconds(admissions.SERVE_EVERY_MS))
+            gevent.sleep(clock.to_seconds(admissions.PROCESS_INTERVAL_MS))
 
     def render_measures(self) -> bytes:
         """Return the entry host's counts and latencies as text."""
@@ -150,7 +150,7 @@
             'request_ms': self.relay.latencies,
             'queue_ms': self.relay.queue_times,
         }
-        return measures.render(counters, gauges, histograms)
+        return metrics.render(counters, gauges, histograms)
 
     def _compose(
         self, member: groups.Member
@@ -175,7 +175,9 @@
     def _pace_ms(self, member: groups.Member) -> float:
         if member.disk != self.storage.nearest():
             return links.CALM_BEAT_MS
-        is_busy = self.relay.admission.waiting() or self.table.is_awaited
+        is_busy = (
+            self.relay.admission.waiting() or self.table.has_remote_waiting
+        )
         return links.BUSY_BEAT_MS if is_busy else links.BEAT_MS
 
     def _take_answer(
@@ -183,11 +185,11 @@
     ) -> None:
         news = told
         if isinstance(told, messages.Hosts):
-            self.directory.take(told)
-            is_near = self.directory.serves_near
+            self.directory.update(told)
+            is_near = self.directory.is_zone_self_sufficient
             self.table.prefer_zone(self.settings.zone if is_near else '')
-            self.table.note_shared(told.in_flight, told.waiting)
-            self.table.note_suspects(told.suspects)
+            self.table.update_remote_load(told.in_flight, told.waiting)
+            self.table.update_suspects(told.suspects)
             news = told.news
         self.updates.take_news(self.links.get(member.disk), news)
 
--- a/src/carobfork/roles/hosts.py
+++ b/src/carobfork/roles/hosts.py
@@ -8,7 +8,7 @@
 import structlog
 
 from carobfork import clock, exceptions, host_logs
-from carobfork.gateway import measures
+from carobfork.gateway import metrics
 from carobfork.platform import endpoints, followers, objects, settings
 
 SETTINGS_POLL_MS = 1000
@@ -54,7 +54,7 @@
             'platform_calls': self.store.calls,
             'log_lines_lost': host_logs.lost_lines(),
         }
-        return measures.render(counters, {}, {})
+        return metrics.render(counters, {}, {})
 
     def serve_measures(self) -> None:
         """Serve counts and latencies on the second inner port."""
--- a/src/carobfork/roles/store.py
+++ b/src/carobfork/roles/store.py
@@ -6,7 +6,7 @@
 import structlog
 
 from carobfork import clock, exceptions, host_logs
-from carobfork.gateway import measures
+from carobfork.gateway import metrics
 from carobfork.platform import (
     decoding,
     followers,
@@ -99,7 +99,7 @@
             'synced_batches': self.disk.synced_batches,
             'log_lines_lost': host_logs.lost_lines(),
         }
-        return measures.render(counters, gauges, {})
+        return metrics.render(counters, gauges, {})
 
     def __exit__(self, *failure) -> None:
         """Close the listener and the disk and end all greenlets."""
--- a/src/carobfork/roles/updates.py
+++ b/src/carobfork/roles/updates.py
@@ -53,7 +53,7 @@
     def is_complete(self) -> bool:
         """Whether enough is known to serve."""
         is_routed = self._learners.relay.routes is not None
-        return is_routed and self._learners.table.is_known
+        return is_routed and self._learners.table.is_loaded
 
     def sources(self) -> dict[str, followers.OnSnapshot]:
         """Return what takes the platform's own word, by kind."""
@@ -80,7 +80,7 @@
     def take_recalled(self, told: messages.Recalled) -> bool:
         """Take what a store host knows; tell whether all could be taken."""
         self._learners.storage.apply(told.group)
-        was_away = told.since_outage_ms < workers.RETURN_MS
+        was_away = told.since_outage_ms < workers.RELISTING_TIMEOUT_MS
         renewed, is_whole = self._notebook.merge(told.changes)
         for kind in renewed:
             note = self._notebook.get(kind)
@@ -135,7 +135,7 @@
         self._learners.table.apply(
             [entry for entry in entries if entry], was_away
         )
-        self._learners.relay.admission.serve()
+        self._learners.relay.admission.process_waiting()
 
     def _take_group(self, seen: followers.Snapshot) -> None:
         for stored in seen.present:
--- a/tests/plain_calls.py
+++ b/tests/plain_calls.py
@@ -53,10 +53,10 @@
 def read_answer(sock):
     """Read a response, whole or broken off."""
     reader = framing.Reader(sock)
-    head = reader.read_head(framing.HEAD_BYTES)
+    head = reader.read_head(framing.MAX_HEAD_BYTES)
     body = bytearray()
     try:
-        for piece in reader.pieces(framing.response_shape(head, 'GET')):
+        for piece in reader.iter_body(framing.response_shape(head, 'GET')):
             body.extend(piece)
     except EOFError:
         return Answer(int(head.first[1]), head, bytes(body), is_whole=False)
--- a/tests/test_boards.py
+++ b/tests/test_boards.py
@@ -53,7 +53,7 @@
             workers.WorkerTable(self.timer) for _ in range(self.hosts)
         ]
         for table in self.tables:
-            table.apply(entries, was_away=False)
+            table.apply(entries, was_unreachable=False)
 
     def place(self, table, number):
         """Place one turn by the count of open turns, as the relay does."""
@@ -62,7 +62,7 @@
         first = choose(call, table.usable('e'), self.timer.now_ms())
         announced = first.instance if first else ''
         self.board.note(call.attempt, announced)
-        table.note_open_turns(self.board.counts(), announced)
+        table.update_open_turns(self.board.counts(), announced)
         worker = choose(call, table.usable('e'), self.timer.now_ms())
         if worker is None:
             self.board.drop(call.attempt)
@@ -81,9 +81,9 @@
     def test_sums_do_not_hide_a_count(self):
         """A count stands for a beat against older sums."""
         table = self.tables[0]
-        table.note_open_turns({'s0': 5}, '')
-        table.note_shared({}, {})
+        table.update_open_turns({'s0': 5}, '')
+        table.update_remote_load({}, {})
         self.assertEqual(table.get('s0').load(self.timer.now_ms()), 5)
-        self.timer.advance(workers.COUNT_FRESH_MS + 1)
-        table.note_shared({}, {})
+        self.timer.advance(workers.OPEN_TURNS_TTL_MS + 1)
+        table.update_remote_load({}, {})
         self.assertEqual(table.get('s0').load(self.timer.now_ms()), 0)
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -7,9 +7,9 @@
 from carobfork.gateway import (
     budgets,
     calls,
-    desks,
     directories,
     placements,
+    queues,
     routes,
     workers,
 )
@@ -58,17 +58,17 @@
         """Servers whose entries vanish together serve on for a while."""
         self.apply()
         self.assertEqual(self.usable(), ['a', 'b'])
-        self.timer.advance(workers.HOLD_MS + 1)
+        self.timer.advance(workers.UNLISTED_TTL_MS + 1)
         self.assertEqual(self.usable(), [])
 
     def test_entries_come_back_after_an_outage(self):
         """Those that lapsed in it have time to return, then are gone."""
         self.apply(was_away=True)
-        self.timer.advance(workers.HOLD_MS + 1)
+        self.timer.advance(workers.UNLISTED_TTL_MS + 1)
         self.assertEqual(self.usable(), ['a', 'b'])
         self.apply('a')
         self.assertEqual(self.usable(), ['a'])
-        self.timer.advance(workers.RETURN_MS)
+        self.timer.advance(workers.RELISTING_TIMEOUT_MS)
         self.apply('a')
         self.assertIsNone(self.table.get('b'))
 
@@ -80,21 +80,21 @@
     def test_a_restart_under_the_same_name(self):
         """What was seen of the process before says nothing of the next."""
         before = self.table.get('a')
-        before.note_failure(self.timer.now_ms())
+        before.record_failure(self.timer.now_ms())
         before.in_flight = 3
         self.table.apply([entry('a', started_ms=5), entry('b')], False)
         after = self.table.get('a')
-        self.assertEqual((after.failures, after.in_flight), (0, 0))
+        self.assertEqual((after.consecutive_failures, after.in_flight), (0, 0))
 
     def test_failures_keep_calls_away(self):
         """Longer each time, and never from the last server left."""
         failing = self.table.get('a')
-        failing.note_failure(self.timer.now_ms())
+        failing.record_failure(self.timer.now_ms())
         self.assertEqual(self.usable(), ['b'])
-        self.timer.advance(workers.FIRST_AVOID_MS)
+        self.timer.advance(workers.MIN_AVOID_MS)
         self.assertEqual(self.usable(), ['a', 'b'])
-        failing.note_failure(self.timer.now_ms())
-        self.timer.advance(workers.FIRST_AVOID_MS)
+        failing.record_failure(self.timer.now_ms())
+        self.timer.advance(workers.MIN_AVOID_MS)
         self.assertEqual(self.usable(), ['b'])
         self.apply('a')
         self.assertEqual(self.usable(), ['a'])
@@ -102,34 +102,34 @@
     def test_a_server_that_fails_other_hosts(self):
         """It is avoided where two suspect it, unless it has just served."""
         self.timer.advance(1000)
-        self.table.note_suspects({'a': 1})
+        self.table.update_suspects({'a': 1})
         self.assertEqual(self.usable(), ['a', 'b'])
-        self.table.note_suspects({'a': 2})
+        self.table.update_suspects({'a': 2})
         self.assertEqual(self.usable(), ['b'])
-        self.table.get('a').note_success(5, self.timer.now_ms())
+        self.table.get('a').record_success(5, self.timer.now_ms())
         self.assertEqual(self.usable(), ['a', 'b'])
-        self.timer.advance(workers.OWN_WORD_MS + 1)
+        self.timer.advance(workers.OWN_SUCCESS_TTL_MS + 1)
         self.assertEqual(self.usable(), ['b'])
-        self.table.note_suspects({})
+        self.table.update_suspects({})
         self.assertEqual(self.usable(), ['a', 'b'])
 
     def test_suspects_are_told(self):
         """While calls of this host avoid them."""
-        self.table.get('a').note_failure(self.timer.now_ms())
+        self.table.get('a').record_failure(self.timer.now_ms())
         self.assertEqual(self.table.suspects(), ['a'])
-        self.timer.advance(workers.FIRST_AVOID_MS)
+        self.timer.advance(workers.MIN_AVOID_MS)
         self.assertEqual(self.table.suspects(), [])
 
     def test_load_of_other_hosts(self):
         """Sums of the other hosts count while they are fresh."""
         worker = self.table.get('a')
         worker.in_flight = 1
-        self.table.note_shared({'a': 3}, {SERVICE: 3})
-        self.assertEqual(self.table.waiting(SERVICE), 3)
+        self.table.update_remote_load({'a': 3}, {SERVICE: 3})
+        self.assertEqual(self.table.remote_waiting(SERVICE), 3)
         self.assertEqual(worker.load(self.timer.now_ms()), 4)
-        self.timer.advance(workers.SHARED_FRESH_MS + 1)
+        self.timer.advance(workers.REMOTE_LOAD_TTL_MS + 1)
         self.assertEqual(worker.load(self.timer.now_ms()), 1)
-        self.assertEqual(self.table.waiting(SERVICE), 0)
+        self.assertEqual(self.table.remote_waiting(SERVICE), 0)
 
 
 class PlacementTest(unittest.TestCase):
@@ -158,7 +158,7 @@
         """Programs of one failure domain stay in it, where it is enough."""
         far = [workers.Worker(entry(name)) for name in 'abcd']
         for worker in self.candidates:
-            worker.is_near = True
+            worker.is_zone_local = True
         for number in range(20):
             call = calls.Call('a', program=str(number), prompt_tokens=9)
             home = self.place(call, [*far, *self.candidates], 0)
@@ -169,10 +169,12 @@
         stale, fresh = self.candidates[0], self.candidates[3]
         stale.idle_connections = 1
         fresh.idle_connections = 1
-        stale.kept_ms = 0
-        fresh.kept_ms = placements.KEPT_MS
+        stale.last_kept_ms = 0
+        fresh.last_kept_ms = placements.RECENT_CONNECTION_MS
         call = calls.Call('a', program='p')
-        chosen = self.place(call, self.candidates, placements.KEPT_MS + 1)
+        chosen = self.place(
+            call, self.candidates, placements.RECENT_CONNECTION_MS + 1
+        )
         self.assertIs(chosen, fresh)
 
     def test_a_server_that_comes_back_in_a_burst(self):
@@ -180,7 +182,7 @@
         random.seed(1)
         busy = [workers.Worker(entry(f'b{number}')) for number in range(20)]
         for worker in busy:
-            worker.note_load(3, 0)
+            worker.update_load(3, 0)
         fresh = workers.Worker(entry('back'))
         chosen = [
             self.place(calls.Call('a'), [*busy, fresh], 0) for _ in range(100)
@@ -220,12 +222,12 @@
             for number in range(count)
         }
         news = messages.News(None, {}, is_fresh=True)
-        self.directory.take(messages.Hosts(7, hosts, {}, {}, news))
+        self.directory.update(messages.Hosts(7, hosts, {}, {}, news))
 
     def test_large_domains_serve_themselves(self):
         """Callers are told hosts of their own domain."""
         self.tell(a=8, b=9)
-        self.assertTrue(self.directory.serves_near)
+        self.assertTrue(self.directory.is_zone_self_sufficient)
         for zone, count in (('a', 8), ('b', 9)):
             found = self.directory.addresses(zone, is_self_ready=True)
             self.assertEqual(len(found), count)
@@ -234,7 +236,7 @@
     def test_small_domains_share_all_hosts(self):
         """Too few near hosts would be lost at once."""
         self.tell(a=2, b=9)
-        self.assertFalse(self.directory.serves_near)
+        self.assertFalse(self.directory.is_zone_self_sufficient)
         found = self.directory.addresses('a', is_self_ready=True)
         self.assertEqual(len(found), 11)
 
@@ -250,12 +252,12 @@
     def test_a_host_that_is_cut_off(self):
         """It names nobody: those that it knows may be cut off, too."""
         self.tell(a=2, b=9)
-        self.timer.advance(directories.STALE_MS + 1)
+        self.timer.advance(directories.HOSTS_TTL_MS + 1)
         found = self.directory.addresses('a', is_self_ready=False)
         self.assertEqual(found, [])
 
 
-class DeskTest(unittest.TestCase):
+class CallQueueTest(unittest.TestCase):
     """Bursts at one service with two servers of two slots."""
 
     def setUp(self):
@@ -263,7 +265,7 @@
         self.timer = clock.ManualClock()
         self.table = workers.WorkerTable(self.timer)
         self.table.apply([entry('a', 2), entry('b', 2)], False)
-        self.desk = desks.Desk(
+        self.queue = queues.CallQueue(
             SERVICE, self.table, self.timer, placements.PLACEMENTS['home']
         )
         self.granted = []
@@ -276,10 +278,10 @@
             chosen = self.refused if worker is None else self.granted
             chosen.append((name, worker))
 
-        call = calls.Call(name, finish_ms=finish_ms)
-        ticket = desks.Ticket(call, make_route(rank), 3000, resolve)
-        self.desk.submit(ticket)
-        return ticket
+        call = calls.Call(name, program_deadline_ms=finish_ms)
+        queued = queues.QueuedCall(call, make_route(rank), 3000, resolve)
+        self.queue.submit(queued)
+        return queued
 
     def names(self):
         """Return the granted calls in order."""
@@ -294,7 +296,7 @@
     def test_idle_servers_take_calls_at_once(self):
         """No call waits while a slot is free."""
         self.fill()
-        self.assertEqual(self.desk.waiting, [])
+        self.assertEqual(self.queue.waiting, [])
         self.assertFalse(self.refused)
 
     def test_urgent_calls_go_first(self):
@@ -303,7 +305,7 @@
         for number in range(3):
             self.submit(f'routine-{number}', rank=2)
         self.submit('urgent', rank=0)
-        self.desk.release(self.table.get('a'), 100)
+        self.queue.release(self.table.get('a'), 100)
         self.assertEqual(self.names(), ['urgent'])
 
     def test_within_a_rank_the_tightest_program_goes_first(self):
@@ -311,7 +313,7 @@
         self.fill()
         self.submit('later', finish_ms=9000)
         self.submit('sooner', finish_ms=1000)
-        self.desk.release(self.table.get('a'), 100)
+        self.queue.release(self.table.get('a'), 100)
         self.assertEqual(self.names(), ['sooner'])
 
     def test_late_programs_go_behind(self):
@@ -319,29 +321,31 @@
         self.fill()
         self.submit('late', finish_ms=0)
         self.submit('in time', finish_ms=5000)
-        self.desk.release(self.table.get('a'), 100)
+        self.queue.release(self.table.get('a'), 100)
         self.assertEqual(self.names(), ['in time'])
 
     def test_calls_that_run_once_test_no_server(self):
         """After a failure safe calls go there first, others if it must be."""
         failed = self.table.get('a')
-        failed.note_failure(self.timer.now_ms())
-        self.timer.advance(workers.FIRST_AVOID_MS)
+        failed.record_failure(self.timer.now_ms())
+        self.timer.advance(workers.MIN_AVOID_MS)
         unsafe = make_route(kind=routes.Kind.unsafe)
         chosen = []
         for number in range(3):
             call = calls.Call(str(number))
-            self.desk.submit(desks.Ticket(call, unsafe, 3000, chosen.append))
+            self.queue.submit(
+                queues.QueuedCall(call, unsafe, 3000, chosen.append)
+            )
         names = [worker.instance for worker in chosen]
         self.assertEqual(names, ['b', 'b', 'a'])
-        self.assertTrue(failed.is_doubtful(self.timer.now_ms()))
-        self.timer.advance(workers.DOUBT_MS)
-        self.assertFalse(failed.is_doubtful(self.timer.now_ms()))
+        self.assertTrue(failed.has_recent_failure(self.timer.now_ms()))
+        self.timer.advance(workers.RECENT_FAILURE_MS)
+        self.assertFalse(failed.has_recent_failure(self.timer.now_ms()))
 
     def test_queues_of_other_hosts_count(self):
         """A call is refused for what waits at other hosts, too."""
         self.fill()
-        self.table.note_shared({}, {SERVICE: 99})
+        self.table.update_remote_load({}, {SERVICE: 99})
         self.submit('new')
         self.assertEqual([name for name, _ in self.refused], ['new'])
 
@@ -349,8 +353,8 @@
         """Calls whose time here is up join the shortest server queue."""
         self.fill()
         self.submit('waiting')
-        self.timer.advance(desks.MOST_PATIENCE_MS + 200)
-        self.desk.serve()
+        self.timer.advance(queues.MAX_WAIT_MS + 200)
+        self.queue.process_waiting()
         self.assertEqual(self.names(), ['waiting'])
 
     def test_what_cannot_be_served_is_refused_at_once(self):
@@ -360,31 +364,31 @@
             self.submit(f'flood-{number}')
         self.assertTrue(self.refused)
         self.assertEqual(self.timer.now_ms(), 0)
-        waiting = len(self.desk.waiting)
-        self.assertLess(waiting * desks.FIRST_HOLD_MS / 4, 1000)
+        waiting = len(self.queue.waiting)
+        self.assertLess(waiting * queues.INITIAL_HOLD_MS / 4, 1000)
 
     def test_returns_are_spread(self):
         """Refused calls come back spread, within a third of their time."""
         self.fill()
         pauses = {
-            self.desk.retry_after_ms(3000, spread / 10) for spread in range(10)
+            self.queue.retry_after_ms(3000, spread / 10) for spread in range(10)
         }
         self.assertEqual(len(pauses), 10)
         self.assertLessEqual(max(pauses), 1000)
-        self.assertLessEqual(self.desk.retry_after_ms(30, 1), 10)
+        self.assertLessEqual(self.queue.retry_after_ms(30, 1), 10)
 
     def test_callers_that_leave(self):
         """A call whose caller left gets no slot."""
         self.fill()
-        ticket = self.submit('gone')
-        self.desk.withdraw(ticket)
-        self.desk.release(self.table.get('a'), 100)
+        queued = self.submit('gone')
+        self.queue.cancel(queued)
+        self.queue.release(self.table.get('a'), 100)
         self.assertEqual(self.names(), [])
 
     def test_no_servers(self):
         """Without any server a call is refused at once."""
         self.table.apply([], False)
-        self.timer.advance(workers.HOLD_MS + 1)
+        self.timer.advance(workers.UNLISTED_TTL_MS + 1)
         self.submit('vain')
         self.assertEqual(len(self.refused), 1)
 
--- a/tests/test_gateway_framing.py
+++ b/tests/test_gateway_framing.py
@@ -122,7 +122,7 @@
             found = splitter.feed(raw[:cut])
             found.extend(splitter.feed(raw[cut:]))
             self.assertEqual([event.number for event in found], [1, 2])
-            self.assertEqual(bytes(splitter.rest), b'id: 3\nda')
+            self.assertEqual(bytes(splitter.remainder), b'id: 3\nda')
 
     def test_data(self):
         """The data of an event, its lines joined."""
@@ -134,7 +134,7 @@
         log = events.EventLog('3')
         self.assertFalse(log.accept(events.Event(b'', 3)))
         self.assertTrue(log.accept(events.Event(b'data: d\n\n', 4)))
-        self.assertEqual((log.last, log.count), ('4', 1))
+        self.assertEqual((log.last_id, log.count), ('4', 1))
         self.assertEqual(log.content(), b'd\n')
         with self.assertRaises(events.EventOrderError):
             log.accept(events.Event(b'', 6))
--- a/tests/test_idle_hosts.py
+++ b/tests/test_idle_hosts.py
@@ -12,9 +12,9 @@
 from carobfork.gateway import (
     admissions,
     calls,
-    desks,
     exchanges,
     framing,
+    queues,
     relays,
     routes,
     turns,
@@ -45,24 +45,26 @@
         gevent.sleep(0)
 
 
-class DeskRunnerTest(unittest.TestCase):
+class QueueRunnerTest(unittest.TestCase):
     """The greenlet that serves what waits at an entry host's desks."""
 
     def setUp(self):
         """Start the greenlet, with one server of one slot."""
         timer = clock.ManualClock()
         self.table = workers.WorkerTable(timer)
-        self.table.apply([ENTRY], was_away=False)
-        self.admission = admissions.Admission(self.table, timer, 'home')
-        self.served = mock.Mock(wraps=self.admission.serve)
-        self.admission.serve = self.served
+        self.table.apply([ENTRY], was_unreachable=False)
+        self.admission = admissions.AdmissionController(
+            self.table, timer, 'home'
+        )
+        self.served = mock.Mock(wraps=self.admission.process_waiting)
+        self.admission.process_waiting = self.served
         runner = gevent.spawn(self.admission.run)
         self.addCleanup(runner.kill)
 
     def submit(self, answers):
         """Ask for a slot."""
-        ticket = desks.Ticket(calls.Call('x'), ROUTE, 3000, answers.append)
-        self.admission.desk(SERVICE).submit(ticket)
+        queued = queues.QueuedCall(calls.Call('x'), ROUTE, 3000, answers.append)
+        self.admission.queue(SERVICE).submit(queued)
 
     def test_nothing_waits(self):
         """Calls that get their slot at once wake nobody."""
@@ -76,10 +78,10 @@
     def test_a_call_waits(self):
         """A call that waits is served when a slot comes free elsewhere."""
         worker = self.table.get('a')
-        worker.note_load(1, 0)
+        worker.update_load(1, 0)
         answers = []
         self.submit(answers)
-        worker.note_load(0, 0)
+        worker.update_load(0, 0)
         yield_often()
         self.assertEqual(answers, [worker])
 
@@ -93,7 +95,7 @@
         self.relay = relays.Relay(
             heads,
             workers.WorkerTable(self.timer),
-            turns.TurnDesk(mock.Mock()),
+            turns.TurnManager(mock.Mock()),
             self.timer,
         )
         head = framing.parse_head(b'GET /none HTTP/1.1\r\nHost: h')
@@ -114,10 +116,10 @@
 
     def test_no_configuration(self):
         """The request is refused, with the time to come back."""
-        self.timer.advance(relays.START_WAIT_MS + 1)
+        self.timer.advance(relays.STARTUP_TIMEOUT_MS + 1)
         refused = self.outcome()
         self.assertEqual(refused.outcome, exceptions.Outcome.not_run)
-        self.assertEqual(refused.retry_after_ms, relays.START_RETRY_MS)
+        self.assertEqual(refused.retry_after_ms, relays.STARTUP_RETRY_AFTER_MS)
 
 
 class FollowerTest(unittest.TestCase):
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -88,7 +88,7 @@
             ('t2', 'p', 's', 't1'),
         )
         self.assertEqual(
-            (call.deadline_ms, call.finish_ms, call.budget_tokens),
+            (call.deadline_ms, call.program_deadline_ms, call.budget_tokens),
             (3000, 5200, 2240),
         )
         self.assertEqual((call.prompt_tokens, call.output_tokens), (1840, 280))
@@ -168,7 +168,7 @@
             {'Service': 'b', 'Weight': 3},
         ]
         route = decoding.decode_table(spec).routes[0]
-        drawn = {route.draw_service() for _ in range(50)}
+        drawn = {route.choose_service() for _ in range(50)}
         self.assertEqual(drawn, {'b'})
 
     def test_a_route_that_cannot_be_read(self):
