--- a/src/carobfork/backing.py
+++ b/src/carobfork/backing.py
@@ -1,7 +1,7 @@
 """Backing: wires the clients of backend servers and what is known of them."""
 
 from carobfork import clock
-from carobfork.coordination import backends, observations
+from carobfork.coordination import backends, monitored_backends
 from carobfork.transport import engines, services
 
 
@@ -14,10 +14,10 @@
     def __init__(self, timer: clock.Clock) -> None:
         """Start believing every server usable."""
         self.health = backends.BackendHealth(timer)
-        self.models = observations.ObservedModels(
+        self.models = monitored_backends.MonitoredModels(
             engines.HttpModelBackend(), self.health
         )
-        self.services = observations.ObservedServices(
+        self.services = monitored_backends.MonitoredServices(
             services.HttpServiceBackend(), self.health
         )
 
--- a/src/carobfork/composition.py
+++ b/src/carobfork/composition.py
@@ -181,7 +181,7 @@
         return peers.PeerLink(self.settings.peer_address, keys)
 
     def _end_program(self, program: str, reason: str) -> None:
-        self.serving.gone.end(program, reason)
+        self.serving.gone.close(program, reason)
 
     def _find_own(self) -> identifiers.Incarnation:
         return self.members.own.incarnation
--- a/src/carobfork/coordination/accounts.py
+++ b/src/carobfork/coordination/accounts.py
@@ -4,24 +4,24 @@
 
 from carobfork.coordination import floors, limits, placements
 
-FIRST_ESTIMATE_TOKENS = 200
+DEFAULT_ESTIMATE_TOKENS = 200
 
 
-class Account:
+class DeficitAccount:
     """Keep a floor's deficits true while calls are under way.
 
     :param waiting: returns the ranks with waiting calls.
     """
 
-    def __init__(self, waiting: Callable[[], set[int]]) -> None:
+    def __init__(self, waiting_ranks: Callable[[], set[int]]) -> None:
         """Start without estimates."""
-        self._waiting = waiting
-        self._means_tokens: dict[int, float] = {}
+        self._waiting_ranks = waiting_ranks
+        self._mean_tokens: dict[int, float] = {}
 
     def charge(self, floor: floors.Floor, rank: int) -> float:
         """Charge a rank for a slot and return the tokens charged."""
-        tokens = self._means_tokens.get(rank, FIRST_ESTIMATE_TOKENS)
-        floor.charge(rank, tokens, self._waiting() | {rank})
+        tokens = self._mean_tokens.get(rank, DEFAULT_ESTIMATE_TOKENS)
+        floor.charge(rank, tokens, self._waiting_ranks() | {rank})
         return tokens
 
     def settle(
@@ -32,8 +32,10 @@
         served: limits.Served,
     ) -> None:
         """Correct a charge by what was served."""
-        floor.charge(rank, served.tokens - charged_tokens, self._waiting())
+        floor.charge(
+            rank, served.tokens - charged_tokens, self._waiting_ranks()
+        )
         if served.tokens:
-            self._means_tokens[rank] = placements.average(
-                self._means_tokens.get(rank, 0), served.tokens
+            self._mean_tokens[rank] = placements.average(
+                self._mean_tokens.get(rank, 0), served.tokens
             )
--- a/src/carobfork/coordination/attempts.py
+++ b/src/carobfork/coordination/attempts.py
@@ -36,11 +36,11 @@
 MAX_ATTEMPTS = 3
 MAX_RESUMES = 3
 RESUME_DELAY_MS = 100
-RECORD_TIMEOUT_MS = 30_000
-FENCE_TIMEOUT_MS = 2000
+ANSWER_RECORD_TIMEOUT_MS = 30_000
+CANCEL_COMMIT_TIMEOUT_MS = 2000
 _HTTP_OK = 200
 _IDENTIFIER_LENGTH = 32
-_REPEATABLE = (exceptions.ConnectionFailedError, exceptions.LeavingError)
+_RETRYABLE_ERRORS = (exceptions.ConnectionFailedError, exceptions.LeavingError)
 
 logger = structlog.get_logger(part='attempts')
 
@@ -53,7 +53,7 @@
 
 
 @attrs.frozen(eq=False)
-class ModelWork:
+class ModelTask:
     """A model call that has its turn.
 
     ``reserved_tokens`` is the most that one attempt can take. ``offset`` is
@@ -83,7 +83,7 @@
         self._home = home
         self._backend = backend
 
-    def run(self, work: ModelWork) -> records.AnswerRecorded:
+    def run(self, task: ModelTask) -> records.AnswerRecorded:
         """Resume the call's last attempt, or make new ones.
 
         :raises StreamLostError: the caller's part can not be continued.
@@ -91,93 +91,95 @@
         :raises NotRunError: no engine could be reached.
         :raises UnknownOutcomeError: engines broke off.
         """
-        last = work.program.dispatched.get(work.call.key)
-        if last is not None and self._resume_dispatched(work, last):
-            return self._record(work, last)
-        if work.offset:
-            raise _lost('the stream is not known any more', work.call.model)
-        first = last.attempt + 1 if last else 1
-        return self._try_workers(work, first)
+        last = task.program.dispatched.get(task.call.key)
+        if last is not None and self._resume_dispatched(task, last):
+            return self._record_answer(task, last)
+        if task.offset:
+            raise _stream_lost(
+                'the stream is not known any more', task.call.model
+            )
+        first_number = last.attempt + 1 if last else 1
+        return self._try_workers(task, first_number)
 
     def _try_workers(
-        self, work: ModelWork, first: int
+        self, task: ModelTask, first_number: int
     ) -> records.AnswerRecorded:
         tried: list[str] = []
         sent = False
-        for number in range(first, first + MAX_ATTEMPTS):
+        for number in range(first_number, first_number + MAX_ATTEMPTS):
             try:
-                return self._attempt(work, number, tried)
-            except _REPEATABLE as error:
+                return self._attempt(task, number, tried)
+            except _RETRYABLE_ERRORS as error:
                 logger.info('An attempt failed.', error=str(error))
                 self.failed_attempts += 1
                 sent = sent or getattr(error, 'sent', False)
                 last_error = error
-        kind = (
+        error_type = (
             exceptions.UnknownOutcomeError if sent else exceptions.NotRunError
         )
-        raise kind(
+        raise error_type(
             f'{MAX_ATTEMPTS} attempts failed: {last_error.message}',
             step='dispatch',
             peer=last_error.peer,
         ) from last_error
 
     def _attempt(
-        self, work: ModelWork, number: int, tried: list[str]
+        self, task: ModelTask, number: int, tried: list[str]
     ) -> records.AnswerRecorded:
-        dispatched = self._dispatched(work, number)
-        prompt = attrs.evolve(work.prompt, attempt=_identify(dispatched))
-        request = self._slot_request(work, prompt.attempt, tuple(tried))
-        ledger = work.program.ledger
+        dispatched = self._new_dispatch(task, number)
+        prompt = attrs.evolve(task.prompt, attempt=_identifier_of(dispatched))
+        request = self._slot_request(task, prompt.attempt, tuple(tried))
+        ledger = task.program.ledger
         ledger.reserve(
-            dispatched.reservation, budgets.Reservation(work.reserved_tokens)
+            dispatched.reservation, budgets.Reservation(task.reserved_tokens)
         )
-        with contextlib.ExitStack() as undo:
-            undo.callback(ledger.release, dispatched.reservation)
+        with contextlib.ExitStack() as rollback:
+            rollback.callback(ledger.release, dispatched.reservation)
             with self._home.slots.acquire(request) as slot:
                 tried.append(slot.worker)
                 dispatched = attrs.evolve(
-                    dispatched, target=f'{work.call.model}/{slot.worker}'
+                    dispatched, target=f'{task.call.model}/{slot.worker}'
                 )
-                self._home.confirm_owned(work.program)
-                self._home.note(work.program, dispatched)
+                self._home.confirm_owned(task.program)
+                self._home.enqueue_record(task.program, dispatched)
                 # From here on records alone settle the reservation.
-                undo.pop_all()
-                self._stream(work, dispatched, prompt, slot)
-                answer = self._backend.decode(work.run.raw_events())
+                rollback.pop_all()
+                self._stream(task, dispatched, prompt, slot)
+                answer = self._backend.decode(task.run.raw_events())
                 slot.settle(answer.output_tokens, answer.prefilled_tokens)
-        return self._record(work, dispatched)
+        return self._record_answer(task, dispatched)
 
     def _stream(
         self,
-        work: ModelWork,
+        task: ModelTask,
         dispatched: spending.CallDispatched,
         prompt: ports.Prompt,
         slot: slots.Slot,
     ) -> None:
-        worker = self._worker(work, dispatched)
-        work.run.worker = worker.name
-        with self._giving_up(work.program, worker, dispatched):
+        worker = self._find_worker(task, dispatched)
+        task.run.worker = worker.name
+        with self._cancelling_on_error(task.program, worker, dispatched):
             try:
                 for events in self._backend.stream(worker, prompt):
                     slot.touch()
-                    work.run.push(events)
+                    task.run.push(events)
             except exceptions.ConnectionFailedError as error:
-                if work.run.is_empty:
+                if task.run.is_empty:
                     raise
                 logger.info('A stream broke off.', error=str(error))
-                self._resume(work.run, worker, prompt.attempt)
+                self._resume(task.run, worker, prompt.attempt)
 
     def _resume_dispatched(
-        self, work: ModelWork, dispatched: spending.CallDispatched
+        self, task: ModelTask, dispatched: spending.CallDispatched
     ) -> bool:
         """Take up the stream that another host began, and tell whether."""
-        worker = self._worker(work, dispatched)
-        work.run.worker = worker.name
+        worker = self._find_worker(task, dispatched)
+        task.run.worker = worker.name
         try:
-            with self._giving_up(work.program, worker, dispatched):
-                self._resume(work.run, worker, _identify(dispatched))
+            with self._cancelling_on_error(task.program, worker, dispatched):
+                self._resume(task.run, worker, _identifier_of(dispatched))
         except exceptions.StreamLostError:
-            if work.run.is_empty:
+            if task.run.is_empty:
                 return False
             raise
         return True
@@ -196,10 +198,10 @@
             else:
                 self.resumed_streams += 1
                 return
-        raise _lost(last_error.message, worker.name) from last_error
+        raise _stream_lost(last_error.message, worker.name) from last_error
 
     @contextlib.contextmanager
-    def _giving_up(
+    def _cancelling_on_error(
         self,
         program: programs.Program,
         worker: bundles.Worker,
@@ -209,41 +211,47 @@
         try:
             yield
         except exceptions.LeavingError:
-            self._give_up(program, worker, dispatched, may_run=False)
+            self._cancel_attempt(
+                program, worker, dispatched, may_be_running=False
+            )
             raise
         except exceptions.ConnectionFailedError as error:
-            self._give_up(program, worker, dispatched, may_run=error.sent)
+            self._cancel_attempt(
+                program, worker, dispatched, may_be_running=error.sent
+            )
             raise
         except BaseException:
-            self._give_up(program, worker, dispatched, may_run=True)
+            self._cancel_attempt(
+                program, worker, dispatched, may_be_running=True
+            )
             raise
 
-    def _give_up(
+    def _cancel_attempt(
         self,
         program: programs.Program,
         worker: bundles.Worker,
         dispatched: spending.CallDispatched,
         *,
-        may_run: bool,
+        may_be_running: bool,
     ) -> None:
         failure = spending.AttemptFailed(
             program=dispatched.program,
             key=dispatched.key,
             attempt=dispatched.attempt,
-            tokens=dispatched.reserved_tokens if may_run else 0,
+            tokens=dispatched.reserved_tokens if may_be_running else 0,
         )
         # Only the owner of the journal may cancel: once taken over, the
         # stream is its successor's. Without a commit the engine ends it.
         with contextlib.suppress(exceptions.CarobforkError):
-            noted = self._home.note(program, failure)
-            journals.wait_for(noted.committed, FENCE_TIMEOUT_MS)
-            if may_run:
-                self._backend.cancel(worker, _identify(dispatched))
+            entry = self._home.enqueue_record(program, failure)
+            journals.wait_for(entry.committed, CANCEL_COMMIT_TIMEOUT_MS)
+            if may_be_running:
+                self._backend.cancel(worker, _identifier_of(dispatched))
 
-    def _record(
-        self, work: ModelWork, dispatched: spending.CallDispatched
+    def _record_answer(
+        self, task: ModelTask, dispatched: spending.CallDispatched
     ) -> records.AnswerRecorded:
-        answer = self._backend.decode(work.run.raw_events())
+        answer = self._backend.decode(task.run.raw_events())
         record = records.AnswerRecorded(
             program=dispatched.program,
             key=dispatched.key,
@@ -253,57 +261,57 @@
             body=answer.text.encode(),
             content_type='text/event-stream',
             tokens=answer.tokens,
-            messages=work.call.messages,
+            messages=task.call.messages,
         )
         try:
-            self._home.record(work.program, record, RECORD_TIMEOUT_MS)
+            self._home.record(task.program, record, ANSWER_RECORD_TIMEOUT_MS)
         except exceptions.CarobforkError as error:
             # The engine ran it, so it must not be reported as not run.
             raise calls.unknown_outcome(record.target) from error
         return record
 
-    def _dispatched(
-        self, work: ModelWork, number: int
+    def _new_dispatch(
+        self, task: ModelTask, number: int
     ) -> spending.CallDispatched:
         return spending.CallDispatched(
-            program=work.program.identifier,
-            key=work.call.key,
-            digest=work.call.digest,
+            program=task.program.identifier,
+            key=task.call.key,
+            digest=task.call.digest,
             target='',
             attempt=number,
-            reserved_tokens=work.reserved_tokens,
+            reserved_tokens=task.reserved_tokens,
         )
 
     def _slot_request(
-        self, work: ModelWork, identifier: str, tried: tuple[str, ...]
+        self, task: ModelTask, identifier: str, tried: tuple[str, ...]
     ) -> orders.SlotRequest:
-        history = work.program.history()
+        history = task.program.history()
         return orders.SlotRequest(
             identifier=identifier,
-            program=work.program.identifier,
-            model=work.call.model,
-            rank=self._home.bundle.rank_position(work.program.rank),
-            attained_tokens=work.program.ledger.spent_tokens,
-            last_worker=prefixes.last_worker(self._home.table, work.program),
-            prompt_tokens=work.prompt.estimated_tokens,
+            program=task.program.identifier,
+            model=task.call.model,
+            rank=self._home.bundle.rank_position(task.program.rank),
+            attained_tokens=task.program.ledger.spent_tokens,
+            last_worker=prefixes.last_worker(self._home.table, task.program),
+            prompt_tokens=task.prompt.estimated_tokens,
             avoided=tried,
-            kind=work.program.kind,
-            started=bool(history or work.program.parent),
+            kind=task.program.kind,
+            started=bool(history or task.program.parent),
         )
 
-    def _worker(
-        self, work: ModelWork, dispatched: spending.CallDispatched
+    def _find_worker(
+        self, task: ModelTask, dispatched: spending.CallDispatched
     ) -> bundles.Worker:
-        return bundles.find(work.model.workers, dispatched.worker, 'worker')
+        return bundles.find(task.model.workers, dispatched.worker, 'worker')
 
 
-def _identify(dispatched: spending.CallDispatched) -> str:
+def _identifier_of(dispatched: spending.CallDispatched) -> str:
     return attempt_identifier(
         dispatched.program, dispatched.key, dispatched.attempt
     )
 
 
-def _lost(message: str, peer: str) -> exceptions.StreamLostError:
+def _stream_lost(message: str, peer: str) -> exceptions.StreamLostError:
     return exceptions.StreamLostError(
         f'{message}; ask again from offset 0', step='resume', peer=peer
     )
--- a/src/carobfork/coordination/backends.py
+++ b/src/carobfork/coordination/backends.py
@@ -16,11 +16,11 @@
 from carobfork import clock, exceptions
 from carobfork.state import bundles
 
-FIRST_RETRY_MS = 1000
-LONGEST_RETRY_MS = 30_000
-LEAVING_MEMORY_MS = 60_000
-STALLED_AFTER_MS = 8000
-_DOUBLING_LIMIT = 5
+MIN_RETRY_DELAY_MS = 1000
+MAX_RETRY_DELAY_MS = 30_000
+LEAVING_TTL_MS = 60_000
+STALL_TIMEOUT_MS = 8000
+_MAX_DOUBLINGS = 5
 _converter = cattrs.Converter()
 
 logger = structlog.get_logger(part='backends')
@@ -55,7 +55,7 @@
 
 
 @attrs.define
-class _Health:
+class _ServerHealth:
     """What is known of one server."""
 
     listed_leaving: bool = False
@@ -63,7 +63,7 @@
     failures: int = 0
     retry_at_ms: float = 0
     in_progress: int = 0
-    progress_ms: float = 0
+    last_progress_ms: float = 0
     """When the server last answered something, or became busy."""
 
 
@@ -76,7 +76,7 @@
     def __init__(self, timer: clock.Clock) -> None:
         """Start believing every server usable."""
         self._timer = timer
-        self._servers: dict[str, _Health] = {}
+        self._servers: dict[str, _ServerHealth] = {}
 
     def apply_bundle(self, bundle: bundles.Bundle) -> None:
         """Forget the servers that a bundle no longer lists."""
@@ -92,40 +92,40 @@
             if state is ServerState.leaving
         }
         for name in leaving:
-            self._of(name)
+            self._health_of(name)
         for known, health in self._servers.items():
             health.listed_leaving = known in leaving
 
-    def begin(self, name: str) -> None:
+    def begin_request(self, name: str) -> None:
         """Note that a server has one more request."""
-        health = self._of(name)
+        health = self._health_of(name)
         if not health.in_progress:
-            health.progress_ms = self._timer.now_ms()
+            health.last_progress_ms = self._timer.now_ms()
         health.in_progress += 1
 
-    def end(self, name: str) -> None:
+    def end_request(self, name: str) -> None:
         """Note that a request ended, however it did."""
-        self._of(name).in_progress -= 1
+        self._health_of(name).in_progress -= 1
 
-    def progress(self, name: str) -> None:
+    def record_progress(self, name: str) -> None:
         """Note that a server answered something."""
-        health = self._of(name)
-        health.progress_ms = self._timer.now_ms()
+        health = self._health_of(name)
+        health.last_progress_ms = self._timer.now_ms()
         health.failures = 0
 
-    def fail(self, name: str) -> None:
+    def record_failure(self, name: str) -> None:
         """Note that a server refused, broke off or stayed silent."""
-        health = self._of(name)
-        doublings = min(health.failures, _DOUBLING_LIMIT)
+        health = self._health_of(name)
+        doublings = min(health.failures, _MAX_DOUBLINGS)
         health.failures += 1
-        delay_ms = min(FIRST_RETRY_MS << doublings, LONGEST_RETRY_MS)
+        delay_ms = min(MIN_RETRY_DELAY_MS << doublings, MAX_RETRY_DELAY_MS)
         health.retry_at_ms = self._timer.now_ms() + delay_ms
         logger.info('A server failed.', peer=name, failures=health.failures)
 
-    def note_leaving(self, name: str) -> None:
+    def mark_leaving(self, name: str) -> None:
         """Note that a server itself said that it leaves."""
-        health = self._of(name)
-        health.leaving_until_ms = self._timer.now_ms() + LEAVING_MEMORY_MS
+        health = self._health_of(name)
+        health.leaving_until_ms = self._timer.now_ms() + LEAVING_TTL_MS
 
     def is_leaving(self, name: str) -> bool:
         """Tell whether a server is listed as leaving or said so."""
@@ -155,12 +155,12 @@
         """Return the servers that may get no new work, for the state dump."""
         return [name for name in self._servers if not self.is_usable(name)]
 
-    def _is_stalled(self, health: _Health) -> bool:
-        silence_ms = self._timer.now_ms() - health.progress_ms
-        return health.in_progress > 0 and silence_ms > STALLED_AFTER_MS
+    def _is_stalled(self, health: _ServerHealth) -> bool:
+        silence_ms = self._timer.now_ms() - health.last_progress_ms
+        return health.in_progress > 0 and silence_ms > STALL_TIMEOUT_MS
 
-    def _of(self, name: str) -> _Health:
-        return self._servers.setdefault(name, _Health())
+    def _health_of(self, name: str) -> _ServerHealth:
+        return self._servers.setdefault(name, _ServerHealth())
 
 
 def order_servers(
--- a/src/carobfork/coordination/cache_sweeps.py
+++ b/src/carobfork/coordination/cache_sweeps.py
@@ -24,7 +24,7 @@
 
 SWEEP_INTERVAL_MS = 5000
 QUERY_TIMEOUT_MS = 2000
-QUERY_LIMIT = 1000
+MAX_QUERY_PROGRAMS = 1000
 """Most programs asked about in one message."""
 
 logger = structlog.get_logger(part='cache sweeps')
@@ -46,7 +46,7 @@
     programs: list[str]
 
 
-class GoneRegister:
+class GoneQueryHandler:
     """Tell which of the programs homed here are gone.
 
     :param home: the programs and their journal.
@@ -102,8 +102,8 @@
         """Sweep until the greenlet is killed."""
         while True:
             gevent.sleep(clock.to_seconds(SWEEP_INTERVAL_MS))
-            for worker in self._workers():
-                self._sweep_quietly(worker)
+            for worker in self._assigned_workers():
+                self._try_sweep(worker)
 
     def sweep(self, worker: bundles.Worker) -> None:
         """Release what an engine holds for programs that are gone.
@@ -111,7 +111,7 @@
         :raises ConnectionFailedError: the engine did not answer.
         """
         held = self._backend.inventory(worker).programs
-        for name in self._gone(held):
+        for name in self._find_gone(held):
             self._backend.release(worker, name)
             self.released += 1
             logger.info('Cache was released.', program=name, peer=worker.name)
@@ -126,7 +126,7 @@
             ),
         )
 
-    def _workers(self) -> list[bundles.Worker]:
+    def _assigned_workers(self) -> list[bundles.Worker]:
         if not self._holder.version:
             return []
         return [
@@ -136,21 +136,21 @@
             if self.is_responsible(worker)
         ]
 
-    def _sweep_quietly(self, worker: bundles.Worker) -> None:
+    def _try_sweep(self, worker: bundles.Worker) -> None:
         try:
             self.sweep(worker)
         except exceptions.CarobforkError as error:
             logger.info('A sweep failed.', peer=worker.name, error=str(error))
 
-    def _gone(self, names: Iterable[str]) -> set[str]:
+    def _find_gone(self, names: Iterable[str]) -> set[str]:
         gone: set[str] = set()
-        for host, homed in self._by_home(names).items():
-            for start in range(0, len(homed), QUERY_LIMIT):
-                query = GoneQuery(homed[start : start + QUERY_LIMIT])
-                gone.update(self._ask(host, query).programs)
+        for host, homed in self._group_by_home(names).items():
+            for start in range(0, len(homed), MAX_QUERY_PROGRAMS):
+                query = GoneQuery(homed[start : start + MAX_QUERY_PROGRAMS])
+                gone.update(self._query(host, query).programs)
         return gone
 
-    def _by_home(
+    def _group_by_home(
         self, names: Iterable[str]
     ) -> dict[routing.EntryHost, list[str]]:
         grouped: dict[routing.EntryHost, list[str]] = {}
@@ -166,7 +166,7 @@
             return []
         return [host for host in self._hosts.live() if host.is_home_of(home)]
 
-    def _ask(self, host: routing.EntryHost, query: GoneQuery) -> GoneReply:
+    def _query(self, host: routing.EntryHost, query: GoneQuery) -> GoneReply:
         try:
             return self._link.request(
                 host.peer_address, query, QUERY_TIMEOUT_MS
--- a/src/carobfork/coordination/call_notes.py
+++ b/src/carobfork/coordination/call_logs.py
@@ -8,7 +8,7 @@
 
 
 @attrs.frozen
-class Caller:
+class ClaimedCaller:
     """Who a request says that it comes from, unchecked."""
 
     program: str
@@ -16,7 +16,7 @@
     call: str
 
 
-class CallNotes:
+class CallLog:
     """Count how calls ended and log what was decided about them.
 
     :param timer: the clock that decisions are stamped with.
@@ -31,26 +31,26 @@
         self.outcomes = outcome_counts.OutcomeCounts()
         self._table = table
 
-    def note_answer(self, outcome: str) -> None:
+    def count_outcome(self, outcome: str) -> None:
         """Note that a request was answered with an outcome class."""
         self.outcomes.count(outcome)
 
-    def note_error(self, caller: Caller, error: Exception) -> None:
+    def log_error(self, caller: ClaimedCaller, error: Exception) -> None:
         """Note what a request ended with.
 
         Only programs homed here have a log, and callers without the
         program's token leave no trace in it.
         """
         self.outcomes.count_error(error)
-        if self._is_admitted(caller):
-            self.decisions.note(
+        if self._is_authorised(caller):
+            self.decisions.add(
                 caller.program,
                 decisions.Action.refused,
                 f'call {caller.call}',
                 str(error),
             )
 
-    def _is_admitted(self, caller: Caller) -> bool:
+    def _is_authorised(self, caller: ClaimedCaller) -> bool:
         program = self._table.programs.get(caller.program)
         if program is None:
             return False
--- a/src/carobfork/coordination/decisions.py
+++ b/src/carobfork/coordination/decisions.py
@@ -11,9 +11,9 @@
 
 from carobfork import clock
 
-PROGRAMS_LIMIT = 2000
-DECISIONS_LIMIT = 24
-DETAIL_CHARACTERS = 200
+MAX_PROGRAMS = 2000
+MAX_DECISIONS_PER_PROGRAM = 24
+MAX_DETAIL_CHARACTERS = 200
 
 
 class Action(enum.StrEnum):
@@ -70,23 +70,23 @@
         """Return how many programs the log holds."""
         return len(self._logs)
 
-    def note(
+    def add(
         self, program: str, action: Action, call: str = '', detail: str = ''
     ) -> None:
         """Log a decision; the oldest ones make room."""
         log = self._logs.get(program)
         if log is None:
-            log = collections.deque(maxlen=DECISIONS_LIMIT)
+            log = collections.deque(maxlen=MAX_DECISIONS_PER_PROGRAM)
             self._logs[program] = log
         self._logs.move_to_end(program)
-        if len(self._logs) > PROGRAMS_LIMIT:
+        if len(self._logs) > MAX_PROGRAMS:
             self._logs.popitem(last=False)
         log.append(
             Decision(
                 self._timer.now_ms(),
                 action,
-                call[:DETAIL_CHARACTERS],
-                detail[:DETAIL_CHARACTERS],
+                call[:MAX_DETAIL_CHARACTERS],
+                detail[:MAX_DETAIL_CHARACTERS],
             )
         )
 
--- a/src/carobfork/coordination/dispatchers.py
+++ b/src/carobfork/coordination/dispatchers.py
@@ -55,7 +55,7 @@
         self.workers = worker_tables.WorkerTable(timer)
         self._timer = timer
         self._isolation = isolations.Isolation(bundle.ranks, timer)
-        self._account = accounts.Account(lambda: self.backlog.waiting())
+        self._account = accounts.DeficitAccount(lambda: self.backlog.waiting())
         self.apply(pool, bundle)
 
     def apply(self, pool: pools.Pool, bundle: bundles.Bundle) -> None:
--- a/src/carobfork/coordination/handovers.py
+++ b/src/carobfork/coordination/handovers.py
@@ -189,7 +189,7 @@
         sender.kill()
 
     def _busy(self) -> set[str]:
-        return self._under_way() | self._requests.programs()
+        return self._under_way() | self._requests.active_programs()
 
     def _take(self, entry: journals.Entry) -> None:
         self._queue.append(entry)
--- a/src/carobfork/coordination/homes.py
+++ b/src/carobfork/coordination/homes.py
@@ -11,13 +11,13 @@
     control,
     journals,
     ownerships,
+    sequencers,
     slots,
-    turns,
 )
 from carobfork.state import budgets, bundles, identifiers, programs, records
 
 OPEN_TIMEOUT_MS = 10_000
-_CALL_UNDER_WAY = 'call under way'
+_SERVICE_CALL_RESERVATION = 'call under way'
 """A program has at most one service call under way."""
 
 
@@ -52,7 +52,7 @@
         self.table = table
         self._holder = holder
         self.slots = broker
-        self.turns = turns.Turns()
+        self.sequencer = sequencers.CallSequencer()
         self.ownership = ownership
 
     @property
@@ -77,7 +77,7 @@
         self,
         parent: programs.Program,
         kind_name: str,
-        share: bundles.Budget,
+        budget: bundles.Budget,
     ) -> OpenedProgram:
         """Open a sub-agent, whose budget is carved out of its parent's.
 
@@ -88,15 +88,17 @@
         calls.require_open(parent)
         kind = bundles.find(self.bundle.programs, kind_name, 'program')
         opening = f'opening {identifiers.new_token()}'
-        reservation = budgets.Reservation(share.tokens, share.calls)
+        reservation = budgets.Reservation(budget.tokens, budget.calls)
         parent.ledger.reserve(opening, reservation)
         try:
-            return self._record_opening(kind, share, parent.identifier)
+            return self._record_opening(kind, budget, parent.identifier)
         finally:
             # Once recorded, the share is held under the sub-agent's name.
             parent.ledger.release(opening)
 
-    def begin_end(self, identifier: str, reason: str) -> list[journals.Entry]:
+    def begin_closing(
+        self, identifier: str, reason: str
+    ) -> list[journals.Entry]:
         """Refuse further calls of a program and its sub-agents.
 
         Return the records of their ends, to be waited for.
@@ -125,7 +127,7 @@
         self.require_owned(program)
         self.journal.keep(record, timeout_ms)
 
-    def note(
+    def enqueue_record(
         self, program: programs.Program, record: records.Record
     ) -> journals.Entry:
         """Record something of a program without waiting.
@@ -154,26 +156,26 @@
         self.ownership.confirm(self.journal)
         self.require_owned(program)
 
-    def start_anew(self, journal: journals.Journal) -> None:
+    def reset(self, journal: journals.Journal) -> None:
         """Drop all programs and go on with the journal of a new incarnation."""
         self.table.programs.clear()
-        self.turns = turns.Turns()
+        self.sequencer = sequencers.CallSequencer()
         self.journal = journal
 
     def authorise(self, identifier: str, token: str) -> programs.Program:
         """Return a program if the token opens it."""
         program = self.table.find(identifier)
         calls.authorise(program, token)
-        self.note_activity(program)
+        self.mark_active(program)
         return program
 
-    def note_activity(self, program: programs.Program) -> None:
+    def mark_active(self, program: programs.Program) -> None:
         """Note that a program, and so each of its parents, is in use."""
         while program is not None:
             program.idle_ms = 0
             program = self.table.programs.get(program.parent)
 
-    def turn(
+    def in_sequence(
         self, program: programs.Program, key: str = '', after: str = ''
     ) -> contextlib.AbstractContextManager:
         """Hold the program's turn: its calls run one at a time, in order.
@@ -181,14 +183,14 @@
         :param key: the call's key, empty for what is no call.
         :param after: key of the call that must come first, or nothing.
         """
-        return self.turns.hold(program, key, after)
+        return self.sequencer.acquire(program, key, after)
 
     @contextlib.contextmanager
     def reservation(
         self,
         program: programs.Program,
         tokens: int,
-        identifier: str = _CALL_UNDER_WAY,
+        identifier: str = _SERVICE_CALL_RESERVATION,
     ) -> Iterator[None]:
         """Reserve one call and a number of tokens while a call runs."""
         calls.require_open(program)
@@ -214,11 +216,11 @@
             parent=parent,
         )
         self.journal.keep(record, OPEN_TIMEOUT_MS)
-        self._end_orphan(parent, opened.program)
+        self._close_orphan(parent, opened.program)
         return opened
 
-    def _end_orphan(self, parent: str, identifier: str) -> None:
+    def _close_orphan(self, parent: str, identifier: str) -> None:
         """End a sub-agent whose parent ended while it was being opened."""
         if parent and not self.table.find(parent).is_open:
-            self.begin_end(identifier, 'its parent ended')
+            self.begin_closing(identifier, 'its parent ended')
             calls.require_open(self.table.find(identifier))
--- a/src/carobfork/coordination/intents.py
+++ b/src/carobfork/coordination/intents.py
@@ -19,13 +19,13 @@
         self._home = home
         self._withdrawing: set[tuple[str, str]] = set()
 
-    def require_settled(self, call: calls.ServiceCall) -> None:
+    def require_not_withdrawing(self, call: calls.ServiceCall) -> None:
         """Check that no withdrawal of the same call is being recorded.
 
         :raises NotRunError: one is; the call did not run.
         """
         if (call.program, call.key) in self._withdrawing:
-            raise _unrecorded()
+            raise _not_recorded()
 
     def record(self, call: calls.ServiceCall) -> None:
         """Commit a call's intent.
@@ -34,7 +34,7 @@
         """
         journal = self._home.journal
         if journal.stalled:
-            raise _unrecorded()
+            raise _not_recorded()
         entry = journal.enqueue(
             records.IntentRecorded(
                 program=call.program,
@@ -48,7 +48,7 @@
         except exceptions.PlatformError as error:
             if not journal.withdraw(entry):
                 self.withdraw(call)
-            raise _unrecorded() from error
+            raise _not_recorded() from error
 
     def withdraw(self, call: calls.ServiceCall) -> None:
         """Record that an intent will never be acted on.
@@ -63,7 +63,7 @@
         entry.kept.rawlink(lambda _: self._withdrawing.discard(name))
 
 
-def _unrecorded() -> exceptions.NotRunError:
+def _not_recorded() -> exceptions.NotRunError:
     return exceptions.NotRunError(
         'the intent could not be recorded',
         step='record intent',
--- a/src/carobfork/coordination/local_requests.py
+++ b/src/carobfork/coordination/local_requests.py
@@ -24,15 +24,15 @@
         self.successor: routing.EntryHost | None = None
         """Where this host's programs are, if they have been handed over."""
         self._counts: collections.Counter[str] = collections.Counter()
-        self._served = event.Event()
-        self._served.set()
+        self._unpaused = event.Event()
+        self._unpaused.set()
 
-    def wait(self) -> None:
+    def wait_while_paused(self) -> None:
         """Wait while the programs move."""
-        self._served.wait(timeout=clock.to_seconds(PAUSE_TIMEOUT_MS))
+        self._unpaused.wait(timeout=clock.to_seconds(PAUSE_TIMEOUT_MS))
 
     @contextlib.contextmanager
-    def serving(self, program: str) -> Iterator[None]:
+    def track(self, program: str) -> Iterator[None]:
         """Count a request while it is served."""
         self._counts[program] += 1
         try:
@@ -42,15 +42,15 @@
             if not self._counts[program]:
                 self._counts.pop(program)
 
-    def programs(self) -> set[str]:
+    def active_programs(self) -> set[str]:
         """Return the programs with requests."""
         return set(self._counts)
 
     def pause(self) -> None:
         """Let new requests wait until they are resumed."""
-        self._served.clear()
+        self._unpaused.clear()
 
     def resume(self, successor: routing.EntryHost | None) -> None:
         """Let requests go on, at the successor if there is one."""
         self.successor = successor
-        self._served.set()
+        self._unpaused.set()
--- a/src/carobfork/coordination/model_calls.py
+++ b/src/carobfork/coordination/model_calls.py
@@ -8,7 +8,7 @@
 from carobfork.state import bundles, programs, records
 
 READER_GRACE_MS = 10_000
-_TEMPLATE_BYTES = 64
+_TEMPLATE_OVERHEAD_BYTES = 64
 """Room for what a chat template adds to a prompt."""
 
 logger = structlog.get_logger(part='model calls')
@@ -43,7 +43,7 @@
         :raises BadRequestError: the call is refused, nothing ran.
         """
         program = self._home.authorise(call.program, call.token)
-        run = self._find(program, call)
+        run = self._find_run(program, call)
         if run is not None:
             return run
         calls.require_open(program)
@@ -55,7 +55,7 @@
         )
         return run
 
-    def cancel(self, program: str, reason: str) -> None:
+    def cancel_program(self, program: str, reason: str) -> None:
         """Cancel all calls of a program."""
         for key in list(self.runs):
             if key[0] == program:
@@ -75,7 +75,7 @@
         self.runs.pop(key).fail(error)
         self._greenlets.pop(key).kill(error, block=False)
 
-    def _find(
+    def _find_run(
         self, program: programs.Program, call: calls.ModelCall
     ) -> runs.ModelRun | None:
         run = self.runs.get((call.program, call.key))
@@ -98,42 +98,42 @@
         offset: int,
     ) -> None:
         try:
-            with self._home.turn(program, call.key, call.after):
+            with self._home.in_sequence(program, call.key, call.after):
                 calls.require_open(program)
-                work = self._prepare(run, program, call, model, offset)
-                run.finish(self.runner.run(work))
+                task = self._make_task(run, program, call, model, offset)
+                run.finish(self.runner.run(task))
         except exceptions.CarobforkError as error:
             logger.info('A call failed.', error=str(error))
             run.fail(error)
         finally:
-            self._forget((call.program, call.key), run)
+            self._remove_run((call.program, call.key), run)
 
-    def _forget(self, key: tuple[str, str], run: runs.ModelRun) -> None:
+    def _remove_run(self, key: tuple[str, str], run: runs.ModelRun) -> None:
         # A cancelled run may have been replaced under its key.
         if self.runs.get(key) is run:
             self.runs.pop(key)
             self._greenlets.pop(key)
 
-    def _prepare(
+    def _make_task(
         self,
         run: runs.ModelRun,
         program: programs.Program,
         call: calls.ModelCall,
         model: bundles.Model,
         offset: int,
-    ) -> attempts.ModelWork:
+    ) -> attempts.ModelTask:
         history = program.history()
-        return attempts.ModelWork(
+        return attempts.ModelTask(
             run=run,
             program=program,
             call=call,
             model=model,
-            prompt=self._prompt(program, call, history),
-            reserved_tokens=_most_tokens(call, history),
+            prompt=self._make_prompt(program, call, history),
+            reserved_tokens=_max_total_tokens(call, history),
             offset=offset,
         )
 
-    def _prompt(
+    def _make_prompt(
         self,
         program: programs.Program,
         call: calls.ModelCall,
@@ -153,7 +153,7 @@
         )
 
 
-def _most_tokens(
+def _max_total_tokens(
     call: calls.ModelCall, history: list[records.AnswerRecorded]
 ) -> int:
     """Return the most tokens that a call can take.
@@ -161,7 +161,11 @@
     The last call's tokens cover the history before its answer; no text has
     more tokens than bytes.
     """
-    tokens = len(call.messages) + _TEMPLATE_BYTES + call.max_tokens
+    tokens = len(call.messages) + _TEMPLATE_OVERHEAD_BYTES + call.max_tokens
     if history:
-        tokens += history[-1].tokens + len(history[-1].body) + _TEMPLATE_BYTES
+        tokens += (
+            history[-1].tokens
+            + len(history[-1].body)
+            + _TEMPLATE_OVERHEAD_BYTES
+        )
     return tokens
--- a/src/carobfork/coordination/observations.py
+++ b/src/carobfork/coordination/monitored_backends.py
@@ -8,7 +8,7 @@
 from carobfork.state import bundles
 
 
-class ObservedModels:
+class MonitoredModels:
     """Model engines whose streams are watched.
 
     :param backend: the model engines.
@@ -32,13 +32,13 @@
         self, worker: bundles.Worker, prompt: ports.Prompt
     ) -> Iterator[bytes]:
         """Yield whole server-sent events as they come."""
-        with _observed(self._health, worker.name):
+        with _monitored(self._health, worker.name):
             for events in self._backend.stream(worker, prompt):
-                self._health.progress(worker.name)
+                self._health.record_progress(worker.name)
                 yield events
 
 
-class ObservedServices:
+class MonitoredServices:
     """Plain services whose answers are watched.
 
     :param backend: the plain services.
@@ -62,24 +62,24 @@
 
         :raises LeavingError: the server refused since it leaves.
         """
-        with _observed(self._health, server.name):
+        with _monitored(self._health, server.name):
             reply = self._backend.send(server, request, timeout_ms)
-            self._health.progress(server.name)
+            self._health.record_progress(server.name)
             if reply.leaving:
-                self._health.note_leaving(server.name)
+                self._health.mark_leaving(server.name)
             return reply
 
 
 @contextlib.contextmanager
-def _observed(health: backends.BackendHealth, name: str) -> Iterator[None]:
-    health.begin(name)
+def _monitored(health: backends.BackendHealth, name: str) -> Iterator[None]:
+    health.begin_request(name)
     try:
         yield
     except exceptions.LeavingError:
-        health.note_leaving(name)
+        health.mark_leaving(name)
         raise
     except exceptions.ConnectionFailedError:
-        health.fail(name)
+        health.record_failure(name)
         raise
     finally:
-        health.end(name)
+        health.end_request(name)
--- a/src/carobfork/coordination/gone_programs.py
+++ b/src/carobfork/coordination/program_reapers.py
@@ -21,7 +21,7 @@
 logger = structlog.get_logger(part='gone programs')
 
 
-class GonePrograms:
+class ProgramReaper:
     """Find programs that are gone and end them.
 
     :param home: the programs homed here.
@@ -47,16 +47,16 @@
         self._checked_ms = timer.now_ms()
         self._recorded_ms = timer.now_ms()
 
-    def end(self, identifier: str, reason: str) -> None:
+    def close(self, identifier: str, reason: str) -> None:
         """End a program with its sub-agents and release what they hold.
 
         :raises UnknownProgramError: it is not homed here.
         :raises PlatformError: not recorded in time; it still will be.
         """
         tree = self._home.table.tree(identifier)
-        ends = self._home.begin_end(identifier, reason)
+        ends = self._home.begin_closing(identifier, reason)
         for program in tree:
-            self._models.cancel(program.identifier, reason)
+            self._models.cancel_program(program.identifier, reason)
         for end in ends:
             journals.wait_for(end.kept, END_TIMEOUT_MS)
         self.ended += len(tree)
@@ -77,7 +77,7 @@
         for program in list(self._home.table.programs.values()):
             if program.is_open:
                 self._count_time(program, passed_ms)
-                self._end_if_gone(program)
+                self._close_if_expired(program)
         if now_ms - self._recorded_ms >= TIME_RECORD_INTERVAL_MS:
             self._recorded_ms = now_ms
             self._record_time()
@@ -85,10 +85,10 @@
     def _count_time(self, program: programs.Program, passed_ms: float) -> None:
         program.ledger.spent_time_ms += round(passed_ms)
         program.idle_ms += passed_ms
-        if not self._home.turns.is_idle(program.identifier):
-            self._home.note_activity(program)
+        if not self._home.sequencer.is_idle(program.identifier):
+            self._home.mark_active(program)
 
-    def _end_if_gone(self, program: programs.Program) -> None:
+    def _close_if_expired(self, program: programs.Program) -> None:
         reason = ''
         if program.ledger.free_time_ms <= 0:
             reason = programs.OUT_OF_TIME
@@ -98,11 +98,11 @@
             logger.info(
                 'A program is gone.', program=program.identifier, reason=reason
             )
-            gevent.spawn(self._end_quietly, program.identifier, reason)
+            gevent.spawn(self._try_close, program.identifier, reason)
 
-    def _end_quietly(self, identifier: str, reason: str) -> None:
+    def _try_close(self, identifier: str, reason: str) -> None:
         try:
-            self.end(identifier, reason)
+            self.close(identifier, reason)
         except exceptions.CarobforkError as error:
             logger.warning('A program was not ended yet.', error=str(error))
 
@@ -133,9 +133,9 @@
             return
         for program in tree:
             for target in sorted(program.workers):
-                self._release_at(program.identifier, target)
+                self._release_worker(program.identifier, target)
 
-    def _release_at(self, program: str, target: str) -> None:
+    def _release_worker(self, program: str, target: str) -> None:
         model_name, _, worker_name = target.rpartition('/')
         try:
             model = bundles.find(self._home.bundle.models, model_name, 'model')
--- a/src/carobfork/coordination/routing.py
+++ b/src/carobfork/coordination/routing.py
@@ -47,12 +47,12 @@
         """Tell whether a host is about to stop."""
 
 
-class Requests(Protocol):
+class RequestGate(Protocol):
     """The requests that this host serves itself."""
 
     successor: EntryHost | None
 
-    def wait(self) -> None:
+    def wait_while_paused(self) -> None:
         """Wait while the programs move to another host."""
 
 
@@ -79,7 +79,7 @@
         self,
         table: programs.ProgramTable,
         hosts: HostList,
-        requests: Requests,
+        requests: RequestGate,
     ) -> None:
         """Remember where to look."""
         self._requests = requests
@@ -92,7 +92,7 @@
         :raises NotRunError: its home is gone and not taken over yet.
         :raises UnknownProgramError: it never had a home.
         """
-        self._requests.wait()
+        self._requests.wait_while_paused()
         home = identifiers.home_of(program)
         if (
             home == self._hosts.own.incarnation
@@ -100,9 +100,9 @@
         ):
             successor = self._requests.successor
             return successor.caller_address if successor else None
-        hosts = _adopters_first(self._hosts.live(), home)
+        hosts = _find_homes(self._hosts.live(), home)
         if hosts:
-            return self._address_of(hosts[0])
+            return self._remote_address(hosts[0])
         if self._hosts.knows(home.host):
             raise exceptions.NotRunError(
                 'the program is being taken over',
@@ -130,13 +130,13 @@
             ttl_ms=ADDRESS_TTL_MS,
         )
 
-    def _address_of(self, host: EntryHost) -> bundles.Address | None:
+    def _remote_address(self, host: EntryHost) -> bundles.Address | None:
         if host.incarnation == self._hosts.own.incarnation:
             return None
         return host.caller_address
 
 
-def _adopters_first(
+def _find_homes(
     hosts: Iterable[EntryHost], home: identifiers.Incarnation
 ) -> list[EntryHost]:
     """Return the hosts that are a program's home.
--- a/src/carobfork/coordination/waits.py
+++ b/src/carobfork/coordination/running_calls.py
@@ -22,13 +22,13 @@
         self._answered = event.AsyncResult()
         self._abandoned = False
 
-    def require_wanted(self) -> None:
+    def require_not_abandoned(self) -> None:
         """Check that no caller was told already that the call did not run.
 
         :raises NotRunError: one was.
         """
         if self._abandoned:
-            raise _not_run()
+            raise _not_dispatched()
 
     def finish(self, answer: records.AnswerRecorded) -> None:
         """End the call with its recorded answer."""
@@ -49,14 +49,14 @@
         gevent.wait([self.dispatched, self._answered], seconds, count=1)
         if not self.dispatched.is_set() and not self._answered.ready():
             self._abandoned = True
-            self.fail(_not_run())
+            self.fail(_not_dispatched())
         try:
             return self._answered.get(timeout=seconds)
         except gevent.Timeout:
             raise calls.unknown_outcome(service) from None
 
 
-def _not_run() -> exceptions.NotRunError:
+def _not_dispatched() -> exceptions.NotRunError:
     return exceptions.NotRunError(
         "the program's turn did not come in time", step='await turn'
     )
--- a/src/carobfork/coordination/runs.py
+++ b/src/carobfork/coordination/runs.py
@@ -66,7 +66,7 @@
         """Return all events so far."""
         return b''.join(self._events)
 
-    def follow(self) -> Iterator[bytes]:
+    def read_events(self) -> Iterator[bytes]:
         """Yield events from the first on until the run ends.
 
         :raises CarobforkError: what the run failed with.
@@ -75,19 +75,23 @@
         position = 0
         try:
             while position < len(self._events) or not self._finished:
-                self._wait_beyond(position)
-                fresh = self._events[position:]
-                position += len(fresh)
+                self._wait_for_events(position)
+                new_events = self._events[position:]
+                position += len(new_events)
                 # A run that fails wakes its readers without events.
-                if fresh:
-                    yield fresh[0] if len(fresh) == 1 else b''.join(fresh)
+                if new_events:
+                    yield (
+                        new_events[0]
+                        if len(new_events) == 1
+                        else b''.join(new_events)
+                    )
         finally:
             self.readers -= 1
             self._unread_since_ms = self._timer.now_ms()
         if self._error is not None:
             raise self._error
 
-    def _wait_beyond(self, position: int) -> None:
+    def _wait_for_events(self, position: int) -> None:
         """Wait for further events or the end."""
         if position == len(self._events):
             self._changed.clear()
--- a/src/carobfork/coordination/turns.py
+++ b/src/carobfork/coordination/sequencers.py
@@ -16,7 +16,7 @@
 from carobfork import clock, exceptions
 from carobfork.state import programs
 
-WAITING_LIMIT = 64
+MAX_QUEUED_CALLS = 64
 """Most calls of one program that wait for their turn."""
 PREDECESSOR_TIMEOUT_MS = 1500
 _STEP = 'order'
@@ -27,38 +27,38 @@
     """A call's place in its program's queue."""
 
     key: str
-    called: event.Event = attrs.Factory(event.Event)
+    admitted: event.Event = attrs.Factory(event.Event)
 
 
 @attrs.define(eq=False)
-class _Queue:
+class _CallQueue:
     tickets: collections.deque[Ticket] = attrs.Factory(collections.deque)
-    arrived: event.Event = attrs.Factory(event.Event)
-    early: int = 0
+    changed: event.Event = attrs.Factory(event.Event)
+    awaiting_predecessor: int = 0
     """Calls whose predecessor has not arrived."""
 
     def __len__(self) -> int:
-        return len(self.tickets) + self.early
+        return len(self.tickets) + self.awaiting_predecessor
 
-    def notify(self) -> None:
-        arrived = self.arrived
-        self.arrived = event.Event()
-        arrived.set()
+    def notify_changed(self) -> None:
+        changed = self.changed
+        self.changed = event.Event()
+        changed.set()
 
 
-class Turns:
+class CallSequencer:
     """Queue calls by program; a semaphore would not promise their order."""
 
     def __init__(self) -> None:
         """Start with no call waiting."""
-        self._queues: dict[str, _Queue] = {}
+        self._queues: dict[str, _CallQueue] = {}
 
     def is_idle(self, program: str) -> bool:
         """Tell whether no call of a program waits or runs."""
         return program not in self._queues
 
     @contextlib.contextmanager
-    def hold(
+    def acquire(
         self, program: programs.Program, key: str, after: str
     ) -> Iterator[None]:
         """Wait for the turn of a call and hold it.
@@ -67,53 +67,55 @@
         :raises OverloadedError: too many calls of the program wait.
         :raises OutOfOrderError: the call that must come first never came.
         """
-        queue = self._queues.setdefault(program.identifier, _Queue())
+        queue = self._queues.setdefault(program.identifier, _CallQueue())
         try:
-            with self._place(queue, program, key, after) as ticket:
-                ticket.called.wait()
+            with self._enqueued(queue, program, key, after) as ticket:
+                ticket.admitted.wait()
                 yield
         finally:
             if not queue:
                 self._queues.pop(program.identifier, None)
 
     @contextlib.contextmanager
-    def _place(
-        self, queue: _Queue, program: programs.Program, key: str, after: str
+    def _enqueued(
+        self, queue: _CallQueue, program: programs.Program, key: str, after: str
     ) -> Iterator[Ticket]:
-        if len(queue) >= WAITING_LIMIT:
+        if len(queue) >= MAX_QUEUED_CALLS:
             raise exceptions.OverloadedError(
                 f'{len(queue)} calls of the program wait already', step=_STEP
             )
-        _await_predecessor(queue, program, after)
+        _wait_for_predecessor(queue, program, after)
         ticket = Ticket(key)
         queue.tickets.append(ticket)
-        queue.notify()
+        queue.notify_changed()
         try:
-            queue.tickets[0].called.set()
+            queue.tickets[0].admitted.set()
             yield ticket
         finally:
             queue.tickets.remove(ticket)
             if queue.tickets:
-                queue.tickets[0].called.set()
+                queue.tickets[0].admitted.set()
 
 
-def _await_predecessor(
-    queue: _Queue, program: programs.Program, after: str
+def _wait_for_predecessor(
+    queue: _CallQueue, program: programs.Program, after: str
 ) -> None:
-    queue.early += 1
+    queue.awaiting_predecessor += 1
     try:
         with gevent.Timeout(clock.to_seconds(PREDECESSOR_TIMEOUT_MS), False):
             while not _has_arrived(queue, program, after):
-                queue.arrived.wait()
+                queue.changed.wait()
             return
     finally:
-        queue.early -= 1
+        queue.awaiting_predecessor -= 1
     raise exceptions.OutOfOrderError(
         f'call "{after}", which must come first, has not arrived', step=_STEP
     )
 
 
-def _has_arrived(queue: _Queue, program: programs.Program, after: str) -> bool:
+def _has_arrived(
+    queue: _CallQueue, program: programs.Program, after: str
+) -> bool:
     if not after or after in program.calls:
         return True
     return any(ticket.key == after for ticket in queue.tickets)
--- a/src/carobfork/coordination/service_calls.py
+++ b/src/carobfork/coordination/service_calls.py
@@ -18,15 +18,15 @@
     intents,
     journals,
     ports,
-    waits,
+    running_calls,
 )
 from carobfork.state import bundles, programs, records
 
-LATE_ANSWER_MS = 600_000
+LATE_ANSWER_TIMEOUT_MS = 600_000
 MAX_ATTEMPTS = 3
-RUNNING_LIMIT = 2000
+MAX_RUNNING_CALLS = 2000
 MAX_ANSWER_BYTES = 600_000
-_RETRY_AFTER_MS = 1000
+_RECORD_RETRY_DELAY_MS = 1000
 _BAD_GATEWAY = 502
 
 logger = structlog.get_logger(part='service calls')
@@ -51,10 +51,10 @@
         self._backend = backend
         self._health = health
         self._intents = intents.IntentRecorder(home)
-        self.running: dict[tuple[str, str], waits.RunningCall] = {}
+        self.running: dict[tuple[str, str], running_calls.RunningCall] = {}
 
     @property
-    def under_way(self) -> int:
+    def in_flight(self) -> int:
         """How many calls wait for their turn or an answer."""
         return len(self.running)
 
@@ -69,7 +69,7 @@
         operation = self._operation(call)
         running = self.running.get((call.program, call.key))
         if running is None:
-            self._intents.require_settled(call)
+            self._intents.require_not_withdrawing(call)
             answer = calls.recorded_answer(program, call.key, call.digest)
             if answer is not None:
                 return answer
@@ -83,28 +83,28 @@
         program: programs.Program,
         call: calls.ServiceCall,
         operation: bundles.Operation,
-    ) -> waits.RunningCall:
-        if self.under_way >= RUNNING_LIMIT:
+    ) -> running_calls.RunningCall:
+        if self.in_flight >= MAX_RUNNING_CALLS:
             raise exceptions.OverloadedError(
                 'too many service calls are under way',
                 step='admit',
                 peer=call.service,
             )
-        running = waits.RunningCall(call.digest)
+        running = running_calls.RunningCall(call.digest)
         self.running[call.program, call.key] = running
         logs.spawn(self._execute, running, program, call, operation)
         return running
 
     def _execute(
         self,
-        running: waits.RunningCall,
+        running: running_calls.RunningCall,
         program: programs.Program,
         call: calls.ServiceCall,
         operation: bundles.Operation,
     ) -> None:
         """Run a call in its turn; a late answer is awaited beyond it."""
         try:
-            with self._home.turn(program, call.key, call.after):
+            with self._home.in_sequence(program, call.key, call.after):
                 with self._home.reservation(program, tokens=0):
                     self._prepare(running, program, call, operation)
                     sending = logs.spawn(
@@ -112,37 +112,37 @@
                     )
                     sending.join(clock.to_seconds(operation.timeout_ms))
         except Exception as error:
-            self._give_up(running, call, error)
+            self._fail_undispatched(running, call, error)
 
-    def _give_up(
+    def _fail_undispatched(
         self,
-        running: waits.RunningCall,
+        running: running_calls.RunningCall,
         call: calls.ServiceCall,
         error: Exception,
     ) -> None:
         if running.dispatched.is_set():
             logger.warning('A call met an error late.', error=str(error))
             return
-        running.fail(_before_dispatch(error))
+        running.fail(_as_not_run(error))
         self.running.pop((call.program, call.key), None)
 
     def _prepare(
         self,
-        running: waits.RunningCall,
+        running: running_calls.RunningCall,
         program: programs.Program,
         call: calls.ServiceCall,
         operation: bundles.Operation,
     ) -> None:
         """Do all that must be done before anything is sent."""
         self._home.confirm_owned(program)
-        running.require_wanted()
+        running.require_not_abandoned()
         if operation.repeatable:
             running.dispatched.set()
             return
         self._intents.record(call)
         try:
             self._home.confirm_owned(program)
-            running.require_wanted()
+            running.require_not_abandoned()
         except exceptions.NotRunError:
             self._intents.withdraw(call)
             raise
@@ -150,7 +150,7 @@
 
     def _send(
         self,
-        running: waits.RunningCall,
+        running: running_calls.RunningCall,
         program: programs.Program,
         call: calls.ServiceCall,
         operation: bundles.Operation,
@@ -172,20 +172,20 @@
 
     def _record_answer(
         self,
-        running: waits.RunningCall,
+        running: running_calls.RunningCall,
         program: programs.Program,
         answer: records.AnswerRecorded,
     ) -> None:
         """Record an answer, however long it takes, and then give it out."""
         try:
-            self._keep(program, answer)
+            self._record_durably(program, answer)
         except Exception as error:
             logger.warning('An answer was not recorded.', error=str(error))
             running.fail(calls.unknown_outcome(answer.target))
         else:
             running.finish(answer)
 
-    def _keep(
+    def _record_durably(
         self, program: programs.Program, answer: records.AnswerRecorded
     ) -> None:
         while True:
@@ -194,7 +194,7 @@
                 entry = self._home.journal.enqueue(answer)
             except exceptions.PlatformError:
                 # Too much waits for the platform already; try again.
-                gevent.sleep(clock.to_seconds(_RETRY_AFTER_MS))
+                gevent.sleep(clock.to_seconds(_RECORD_RETRY_DELAY_MS))
                 continue
             journals.wait_for(entry.kept, timeout_ms=None)
             return
@@ -209,7 +209,7 @@
             content_type=call.content_type,
             call=f'{call.program}/{call.key}',
         )
-        server, reply = self._send_to_one(call, request, operation)
+        server, reply = self._send_with_failover(call, request, operation)
         if len(reply.body) > MAX_ANSWER_BYTES:
             reply = ports.ServiceReply(
                 _BAD_GATEWAY, b'the answer is too large', 'text/plain'
@@ -224,26 +224,28 @@
             content_type=reply.content_type,
         )
 
-    def _send_to_one(
+    def _send_with_failover(
         self,
         call: calls.ServiceCall,
         request: ports.ServiceRequest,
         operation: bundles.Operation,
     ) -> tuple[bundles.Server, ports.ServiceReply]:
         """Send a call to one server after another until one takes it."""
-        refusals: list[exceptions.CarobforkError] = []
-        for server in self._candidates(call):
+        errors: list[exceptions.CarobforkError] = []
+        for server in self._candidate_servers(call):
             try:
                 return server, self._send_once(server, request, operation)
             except exceptions.NotRunError as error:
-                refusals.append(error)
+                errors.append(error)
             except exceptions.UnknownOutcomeError as unknown:
                 if not operation.repeatable:
                     raise
-                refusals.append(unknown)
-        raise _gravest(refusals)
+                errors.append(unknown)
+        raise _most_severe(errors)
 
-    def _candidates(self, call: calls.ServiceCall) -> list[bundles.Server]:
+    def _candidate_servers(
+        self, call: calls.ServiceCall
+    ) -> list[bundles.Server]:
         servers = list(self._service(call).servers)
         random.shuffle(servers)
         return backends.order_servers(servers, self._health)[:MAX_ATTEMPTS]
@@ -256,7 +258,7 @@
     ) -> ports.ServiceReply:
         timeout_ms = operation.timeout_ms
         if not operation.repeatable:
-            timeout_ms = LATE_ANSWER_MS
+            timeout_ms = LATE_ANSWER_TIMEOUT_MS
         try:
             return self._backend.send(server, request, timeout_ms)
         except exceptions.ConnectionFailedError as error:
@@ -282,21 +284,21 @@
         )
 
 
-def _gravest(
-    refusals: list[exceptions.CarobforkError],
+def _most_severe(
+    errors: list[exceptions.CarobforkError],
 ) -> exceptions.CarobforkError:
     """Return the error that a call ends with after several attempts.
 
     What was sent once may have run, so an unknown outcome outweighs servers
     that could not be reached.
     """
-    for refusal in refusals:
+    for refusal in errors:
         if refusal.outcome is exceptions.Outcome.unknown:
             return refusal
-    return refusals[0]
+    return errors[0]
 
 
-def _before_dispatch(error: Exception) -> exceptions.CarobforkError:
+def _as_not_run(error: Exception) -> exceptions.CarobforkError:
     """Return what a failure before dispatch tells: nothing ran."""
     if isinstance(error, exceptions.CarobforkError):
         if error.outcome is exceptions.Outcome.not_run:
--- a/src/carobfork/coordination/stops.py
+++ b/src/carobfork/coordination/shutdowns.py
@@ -21,13 +21,13 @@
 )
 
 ANNOUNCE_TIMEOUT_MS = 1000
-ANNOUNCE_PARALLEL = 32
-_POLL_MS = 50
+MAX_PARALLEL_ANNOUNCEMENTS = 32
+_POLL_INTERVAL_MS = 50
 
 logger = structlog.get_logger(part='stops')
 
 
-class PlannedStop:
+class GracefulShutdown:
     """Take a host out of service, step by step.
 
     :param members: the other hosts, and which of them stay.
@@ -63,12 +63,12 @@
         self._members.leaving = True
         # A host that misses this hears it with the next heartbeats or by
         # the platform.
-        workers = pool.Pool(ANNOUNCE_PARALLEL)
+        workers = pool.Pool(MAX_PARALLEL_ANNOUNCEMENTS)
         own = self._members.own
         others = [host for host in self._members.live() if host != own]
         workers.map(self._announce, others)
         self._publish()
-        self._wait_for_answers()
+        self._wait_for_address_expiry()
         if self._members.staying():
             hand_over()
         for listener in listeners:
@@ -93,10 +93,10 @@
             # The other hosts have been told already.
             logger.warning('The platform was not told.', error=str(error))
 
-    def _wait_for_answers(self) -> None:
+    def _wait_for_address_expiry(self) -> None:
         """Wait until no unexpired address answer names this host."""
         started_ms = self._timer.now_ms()
         while self._members.staying():
             if self._timer.now_ms() - started_ms > routing.ADDRESS_TTL_MS:
                 return
-            gevent.sleep(clock.to_seconds(_POLL_MS))
+            gevent.sleep(clock.to_seconds(_POLL_INTERVAL_MS))
--- a/src/carobfork/coordination/successions.py
+++ b/src/carobfork/coordination/successions.py
@@ -115,7 +115,7 @@
         )
 
     def _hold_turn(self, program, wait: Callable) -> None:
-        with self._home.turns.hold(program, key='', after=''):
+        with self._home.sequencer.acquire(program, key='', after=''):
             wait(timeout=clock.to_seconds(HOLD_TIMEOUT_MS))
 
     def _forget(self, host: routing.EntryHost) -> None:
--- a/src/carobfork/coordination/takeovers.py
+++ b/src/carobfork/coordination/takeovers.py
@@ -259,7 +259,7 @@
             self._published = frozenset()
             self._taken = frozenset()
             self._claimed.clear()
-            self._home.start_anew(self._open_journal(own.incarnation))
+            self._home.reset(self._open_journal(own.incarnation))
 
     def _publish(self) -> None:
         open_ones = set(self._registration.own.predecessors)
--- a/src/carobfork/inspections/hosts.py
+++ b/src/carobfork/inspections/hosts.py
@@ -4,7 +4,7 @@
 
 from carobfork import recording
 from carobfork.coordination import (
-    call_notes,
+    call_logs,
     control,
     homes,
     membership,
@@ -28,7 +28,7 @@
     home: homes.Home
     models: model_calls.ModelCaller
     link: peers.PeerLink
-    notes: call_notes.CallNotes
+    notes: call_logs.CallLog
     caller_listener: servers.HttpServer
     is_listening: bool
 
--- a/src/carobfork/inspections/inspectors.py
+++ b/src/carobfork/inspections/inspectors.py
@@ -56,7 +56,7 @@
         """End a program."""
         self._serving().table.find(program)
         self._end(program, reason)
-        self._host.notes.decisions.note(
+        self._host.notes.decisions.add(
             program, decisions.Action.stopped, detail=reason
         )
 
--- a/src/carobfork/inspections/noted_calls.py
+++ b/src/carobfork/inspections/noted_calls.py
@@ -5,7 +5,7 @@
 
 from carobfork import clock, exceptions, logs
 from carobfork.coordination import (
-    call_notes,
+    call_logs,
     decisions,
     orders,
     ports,
@@ -18,9 +18,9 @@
 
 def open_notes(
     timer: clock.Clock, table: programs.ProgramTable
-) -> call_notes.CallNotes:
+) -> call_logs.CallLog:
     """Return the empty notes of a host that starts."""
-    return call_notes.CallNotes(timer, table)
+    return call_logs.CallLog(timer, table)
 
 
 class NotedSlots:
@@ -48,11 +48,11 @@
         program = request.program
         call = f'attempt {request.identifier}'
         wanted = f'a slot of model {request.model} in rank {request.rank}'
-        self._log.note(program, _Action.queued, call, wanted)
+        self._log.add(program, _Action.queued, call, wanted)
         with self._broker.acquire(request) as slot:
-            self._log.note(program, _Action.granted, call, slot.worker)
+            self._log.add(program, _Action.granted, call, slot.worker)
             yield slot
-        self._log.note(program, _Action.ended, call, 'its stream ended')
+        self._log.add(program, _Action.ended, call, 'its stream ended')
 
 
 class NotedServices:
@@ -78,12 +78,12 @@
         """Send a request once and wait for its answer."""
         program, _, key = request.call.partition('/')
         call = f'call {key}'
-        self._log.note(program, _Action.sent, call, server.name)
+        self._log.add(program, _Action.sent, call, server.name)
         try:
             reply = self._backend.send(server, request, timeout_ms)
         except exceptions.CarobforkError as error:
-            self._log.note(program, _Action.refused, call, str(error))
+            self._log.add(program, _Action.refused, call, str(error))
             raise
         answered = f'{server.name} with status {reply.status}'
-        self._log.note(program, _Action.answered, call, answered)
+        self._log.add(program, _Action.answered, call, answered)
         return reply
--- a/src/carobfork/protocol/callers.py
+++ b/src/carobfork/protocol/callers.py
@@ -12,12 +12,12 @@
 
 from carobfork import exceptions, logs
 from carobfork.coordination import (
-    call_notes,
+    call_logs,
     calls,
-    gone_programs,
     homes,
     local_requests,
     model_calls,
+    program_reapers,
     routing,
     service_calls,
 )
@@ -60,9 +60,9 @@
     router: routing.Router
     models: model_calls.ModelCaller
     services: service_calls.ServiceCaller
-    gone: gone_programs.GonePrograms
+    gone: program_reapers.ProgramReaper
     forwarder: Forwarder
-    notes: call_notes.CallNotes
+    notes: call_logs.CallLog
     requests: local_requests.LocalRequests
 
 
@@ -112,7 +112,7 @@
             response = responses.refusal(request, error)
         else:
             done = exceptions.Outcome.done
-            self._parts.notes.note_answer(
+            self._parts.notes.count_outcome(
                 response.headers.get(headers.OUTCOME, done)
             )
         return response(environ, start_response)
@@ -122,7 +122,7 @@
             # In a flood the counter of refusals tells enough.
             logger.info('A request was refused.', error=str(error))
         caller = _claimed_caller(request)
-        self._parts.notes.note_error(caller, error)
+        self._parts.notes.log_error(caller, error)
 
     def _route(self, request: Request) -> Response:
         request.max_content_length = responses.MAX_BODY_BYTES
@@ -136,7 +136,7 @@
             address = self._parts.router.resolve(program)
             if address is not None:
                 return self._forward(request, address)
-        with self._parts.requests.serving(program or ''):
+        with self._parts.requests.track(program or ''):
             return endpoint(request, **arguments)
 
     def _forward(self, request: Request, address: bundles.Address) -> Response:
@@ -195,13 +195,13 @@
     def _close(self, request: Request, program: str) -> Response:
         token = requests.required_header(request, headers.TOKEN)
         self._parts.home.authorise(program, token)
-        self._parts.gone.end(program, 'closed by its caller')
+        self._parts.gone.close(program, 'closed by its caller')
         return responses.json_response({'program': program})
 
     def _chat(self, request: Request) -> Response:
         offset = program_requests.offset(request)
         run = self._parts.models.start(requests.model_call(request), offset)
-        events = run.follow()
+        events = run.read_events()
         if run.answer is not None:
             events = iter([sse.encode_text(run.answer.body.decode())])
         followed = sse.skip_text(events, offset)
@@ -269,10 +269,10 @@
         yield sse.DONE
 
 
-def _claimed_caller(request: Request) -> call_notes.Caller:
+def _claimed_caller(request: Request) -> call_logs.ClaimedCaller:
     """Return who a request says that it comes from, cut to a bounded size."""
     program, token, call = (
         request.headers.get(name, '')[: requests.MAX_HEADER_CHARACTERS]
         for name in (headers.PROGRAM, headers.TOKEN, headers.CALL)
     )
-    return call_notes.Caller(program, token, call)
+    return call_logs.ClaimedCaller(program, token, call)
--- a/src/carobfork/serving.py
+++ b/src/carobfork/serving.py
@@ -6,12 +6,12 @@
 from carobfork import backing, clock, stopping
 from carobfork.coordination import (
     cache_sweeps,
-    call_notes,
+    call_logs,
     control,
-    gone_programs,
     homes,
     model_calls,
     ports,
+    program_reapers,
     routing,
     service_calls,
 )
@@ -27,7 +27,7 @@
     members: routing.HostList
     holder: control.BundleHolder
     link: ports.PeerLink
-    notes: call_notes.CallNotes
+    notes: call_logs.CallLog
     timer: clock.Clock
 
 
@@ -50,7 +50,7 @@
             noted_calls.NotedServices(servers.services, host.notes.decisions),
             servers.health,
         )
-        self.gone = gone_programs.GonePrograms(
+        self.gone = program_reapers.ProgramReaper(
             home, self.models, servers.models, host.timer
         )
         self._host = host
@@ -59,7 +59,7 @@
         self._sweeper = cache_sweeps.CacheSweeper(
             host.members, host.holder, host.link, servers.models
         )
-        register = cache_sweeps.GoneRegister(home, self._router)
+        register = cache_sweeps.GoneQueryHandler(home, self._router)
         host.link.on(cache_sweeps.GoneQuery, register.answer)
 
     def loops(self) -> list[Callable[[], None]]:
@@ -84,7 +84,7 @@
         runner = self.models.runner
         return {
             'model_calls_under_way': len(self.models.runs),
-            'service_calls_under_way': self.services.under_way,
+            'service_calls_under_way': self.services.in_flight,
             'attempts_failed': runner.failed_attempts,
             'streams_resumed': runner.resumed_streams,
             'programs_ended': self.gone.ended,
--- a/src/carobfork/stopping.py
+++ b/src/carobfork/stopping.py
@@ -9,7 +9,7 @@
     local_requests,
     membership,
     ports,
-    stops,
+    shutdowns,
     successions,
     takeovers,
 )
@@ -64,5 +64,7 @@
             self.requests,
             under_way,
         )
-        stop = stops.PlannedStop(members, self._link, self._store, self._timer)
+        stop = shutdowns.GracefulShutdown(
+            members, self._link, self._store, self._timer
+        )
         stop.run(handover.run, [listener])
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -3,7 +3,7 @@
 import unittest
 
 from carobfork import clock, exceptions
-from carobfork.coordination import backends, observations, ports
+from carobfork.coordination import backends, monitored_backends, ports
 from carobfork.state import bundles
 
 WORKER = bundles.Worker('engine-1', bundles.Address('127.0.0.1', 1))
@@ -31,50 +31,50 @@
 
     def test_list_and_answers_count_both(self):
         """A server that says it leaves is out though it is listed live."""
-        self.health.note_leaving('service-1')
+        self.health.mark_leaving('service-1')
         self.apply_list(service_1='live', service_2='leaving')
         usable = [self.health.is_usable(server.name) for server in SERVERS]
         self.assertEqual([False, False, True], usable)
 
     def test_leaving_server_may_come_back(self):
         """Without further word a server is asked again after a while."""
-        self.health.note_leaving('service-1')
-        self.timer.advance(backends.LEAVING_MEMORY_MS)
+        self.health.mark_leaving('service-1')
+        self.timer.advance(backends.LEAVING_TTL_MS)
         self.assertTrue(self.health.is_usable('service-1'))
 
     def test_failed_server_gets_one_trial(self):
         """After a pause one request tries the server, not a burst."""
-        self.health.fail('service-1')
+        self.health.record_failure('service-1')
         self.assertFalse(self.health.is_usable('service-1'))
-        self.timer.advance(backends.FIRST_RETRY_MS)
+        self.timer.advance(backends.MIN_RETRY_DELAY_MS)
         self.assertTrue(self.health.is_usable('service-1'))
-        self.health.begin('service-1')
+        self.health.begin_request('service-1')
         self.assertFalse(self.health.is_usable('service-1'))
-        self.health.progress('service-1')
+        self.health.record_progress('service-1')
         self.assertTrue(self.health.is_usable('service-1'))
 
     def test_pause_grows_and_is_bounded(self):
         """Repeated failures double the pause up to a limit."""
         for _ in range(50):
-            self.health.fail('service-1')
-        self.timer.advance(backends.LONGEST_RETRY_MS - 1)
+            self.health.record_failure('service-1')
+        self.timer.advance(backends.MAX_RETRY_DELAY_MS - 1)
         self.assertFalse(self.health.is_usable('service-1'))
         self.timer.advance(1)
         self.assertTrue(self.health.is_usable('service-1'))
 
     def test_connections_without_tokens_are_a_stall(self):
         """An engine that accepts requests and yields nothing is out."""
-        self.health.begin('engine-1')
-        self.timer.advance(backends.STALLED_AFTER_MS + 1)
-        self.health.begin('engine-1')
+        self.health.begin_request('engine-1')
+        self.timer.advance(backends.STALL_TIMEOUT_MS + 1)
+        self.health.begin_request('engine-1')
         self.assertFalse(self.health.is_usable('engine-1'))
-        self.health.progress('engine-1')
+        self.health.record_progress('engine-1')
         self.assertTrue(self.health.is_usable('engine-1'))
 
     def test_order_puts_doubtful_servers_last(self):
         """Failing servers are tried last, leaving ones never."""
-        self.health.fail('service-1')
-        self.health.note_leaving('service-2')
+        self.health.record_failure('service-1')
+        self.health.mark_leaving('service-2')
         ordered = backends.order_servers(SERVERS, self.health)
         names = [server.name for server in ordered]
         self.assertEqual(['service-3', 'service-1'], names)
@@ -82,7 +82,7 @@
     def test_all_leaving_is_not_run(self):
         """Where all servers leave, the call is refused as not run."""
         for server in SERVERS:
-            self.health.note_leaving(server.name)
+            self.health.mark_leaving(server.name)
         with self.assertRaises(exceptions.NotRunError):
             backends.order_servers(SERVERS, self.health)
 
@@ -99,7 +99,7 @@
         """Wrap an engine that fails as the test says."""
         self.health = backends.BackendHealth(clock.ManualClock())
         self.failure = None
-        self.models = observations.ObservedModels(self, self.health)
+        self.models = monitored_backends.MonitoredModels(self, self.health)
 
     def stream(self, worker, prompt):
         """Yield one event and fail."""
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -108,7 +108,7 @@
     def take_turn(self):
         """Take the program's turn at the successor."""
         program = self.successor.table.find(self.program)
-        with self.successor.home.turns.hold(program, 'next', ''):
+        with self.successor.home.sequencer.acquire(program, 'next', ''):
             return self.successor.history(self.program)
 
     def test_repeated_records_count_once(self):
--- a/tests/test_turns.py
+++ b/tests/test_sequencers.py
@@ -5,7 +5,7 @@
 import gevent
 
 from carobfork import exceptions
-from carobfork.coordination import turns
+from carobfork.coordination import sequencers
 from carobfork.state import budgets, bundles, programs
 
 
@@ -21,18 +21,18 @@
     )
 
 
-class TurnsTest(unittest.TestCase):
+class CallSequencerTest(unittest.TestCase):
     """Calls run one at a time, in order of arrival or as they say."""
 
     def setUp(self):
         """Start without calls."""
-        self.turns = turns.Turns()
+        self.sequencer = sequencers.CallSequencer()
         self.program = make_program()
         self.ran = []
 
     def run_call(self, key, after=''):
         """Take a turn and note it; the turn lasts a few loop passes."""
-        with self.turns.hold(self.program, key, after):
+        with self.sequencer.acquire(self.program, key, after):
             self.ran.append(key)
             gevent.idle()
             self.ran.append(f'{key} done')
@@ -46,7 +46,7 @@
         )
         expected = [text for key in keys for text in (key, f'{key} done')]
         self.assertEqual(self.ran, expected)
-        self.assertTrue(self.turns.is_idle(self.program.identifier))
+        self.assertTrue(self.sequencer.is_idle(self.program.identifier))
 
     def test_predecessor_that_comes_later(self):
         """A call waits for the one that it comes after."""
@@ -69,7 +69,7 @@
         """More calls than the limit are refused as not run."""
         waiting = [
             gevent.spawn(self.run_call, str(number))
-            for number in range(turns.WAITING_LIMIT)
+            for number in range(sequencers.MAX_QUEUED_CALLS)
         ]
         gevent.sleep(0)
         with self.assertRaises(exceptions.OverloadedError):
--- a/tests/test_service_calls.py
+++ b/tests/test_service_calls.py
@@ -89,13 +89,13 @@
             content_type='text/plain',
         )
 
-    def code_of(self, *arguments, **options):
+    def error_type_of(self, *arguments, **options):
         """Return the class of the error that a call raises."""
         with self.assertRaises(exceptions.CarobforkError) as caught:
             self.call(*arguments, **options)
         return type(caught.exception)
 
-    def hasten(self):
+    def short_timeouts(self):
         """Let operations time out at once."""
         operations = [
             bundles.Operation(name, method, f'/{name}', repeatable, TIMEOUT_MS)
@@ -117,12 +117,12 @@
     def test_a_late_answer_becomes_known(self):
         """The turn is free meanwhile, and the answer is recorded."""
         self.service.released.clear()
-        with self.hasten():
+        with self.short_timeouts():
             unknown = exceptions.UnknownOutcomeError
-            self.assertIs(self.code_of('d1'), unknown)
+            self.assertIs(self.error_type_of('d1'), unknown)
             self.service.on_send = self.service.released.set
-            later = self.until_done('d2')
-            first = self.until_done('d1')
+            later = self.call_until_done('d2')
+            first = self.call_until_done('d1')
         self.assertEqual(later.body, REPLY.body)
         self.assertEqual(first.body, REPLY.body)
         self.assertEqual(self.service.sent, 2)
@@ -130,25 +130,25 @@
     def test_a_refused_connection_did_not_run(self):
         """The key stays usable, and runs once."""
         self.service.error = exceptions.ConnectionFailedError('no', sent=False)
-        self.assertIs(self.code_of(), exceptions.NotRunError)
+        self.assertIs(self.error_type_of(), exceptions.NotRunError)
         self.service.error = None
-        self.assertEqual(self.until_done().body, REPLY.body)
+        self.assertEqual(self.call_until_done().body, REPLY.body)
         self.assertEqual(self.service.sent, 1)
 
     def test_a_broken_connection_is_unknown(self):
         """Also for a call that may be repeated."""
         self.service.error = exceptions.ConnectionFailedError('no', sent=True)
         unknown = exceptions.UnknownOutcomeError
-        self.assertIs(self.code_of('d1'), unknown)
-        self.assertIs(self.code_of('d1'), unknown)
-        self.assertIs(self.code_of('s1', '/stock'), unknown)
+        self.assertIs(self.error_type_of('d1'), unknown)
+        self.assertIs(self.error_type_of('d1'), unknown)
+        self.assertIs(self.error_type_of('s1', '/stock'), unknown)
         self.assertEqual(self.service.sent, 2)
 
     def test_sealed_after_the_dispatch(self):
         """The call ran, so it is never told as not run."""
         self.service.on_send = self.host.home.journal.seal
         unknown = exceptions.UnknownOutcomeError
-        self.assertIs(self.code_of(), unknown)
+        self.assertIs(self.error_type_of(), unknown)
         self.assertEqual(self.service.sent, 1)
 
     def test_taken_over_before_the_dispatch(self):
@@ -161,7 +161,7 @@
             self.other.takeovers.take(self.host.incarnation)
 
         with mock.patch.object(intents.IntentRecorder, 'record', freeze):
-            self.assertIs(self.code_of(), exceptions.SealedError)
+            self.assertIs(self.error_type_of(), exceptions.SealedError)
         self.assertEqual(self.service.sent, 0)
         taken = self.other.table.find(self.opened.program).calls['d1']
         self.assertIs(taken.phase, programs.CallPhase.intended)
@@ -170,54 +170,54 @@
         """The intent cannot be committed; later the key runs once."""
         self.store.down = True
         with mock.patch.object(intents, 'INTENT_TIMEOUT_MS', TIMEOUT_MS):
-            self.assertIs(self.code_of(), exceptions.NotRunError)
-        self.assertIs(self.code_of(), exceptions.NotRunError)
+            self.assertIs(self.error_type_of(), exceptions.NotRunError)
+        self.assertIs(self.error_type_of(), exceptions.NotRunError)
         self.assertEqual(self.service.sent, 0)
         self.store.down = False
         with gevent.Timeout(30):
             while self.host.home.journal.uncommitted():
                 gevent.sleep(0)
-        reply = self.until_done(repeated=exceptions.NotRunError)
+        reply = self.call_until_done(retried=exceptions.NotRunError)
         self.assertEqual(reply.body, REPLY.body)
         self.assertEqual(self.service.sent, 1)
 
     def test_the_answer_waits_for_the_platform(self):
         """Unknown until it is recorded, and then as it was."""
-        self.service.on_send = self.take_platform_down
-        with self.hasten():
+        self.service.on_send = self.disconnect_platform
+        with self.short_timeouts():
             unknown = exceptions.UnknownOutcomeError
-            self.assertIs(self.code_of(), unknown)
-            self.assertIs(self.code_of(), unknown)
+            self.assertIs(self.error_type_of(), unknown)
+            self.assertIs(self.error_type_of(), unknown)
             self.store.down = False
-            self.assertEqual(self.until_done().body, REPLY.body)
+            self.assertEqual(self.call_until_done().body, REPLY.body)
         self.assertEqual(self.service.sent, 1)
 
     def test_a_turn_that_does_not_come(self):
         """Whoever is told not run is never sent afterwards."""
         program = self.host.table.find(self.opened.program)
         first = self.request('d0')
-        with self.hasten(), self.host.home.turn(program, first):
-            self.assertIs(self.code_of(), exceptions.NotRunError)
+        with self.short_timeouts(), self.host.home.in_sequence(program, first):
+            self.assertIs(self.error_type_of(), exceptions.NotRunError)
         # The next call's turn comes only after the first would have run.
         self.call('d2')
         self.assertEqual(self.service.sent, 1)
 
     def test_bounds_the_calls_under_way(self):
         """Beyond the limit calls are refused as not run."""
-        with mock.patch.object(service_calls, 'RUNNING_LIMIT', 0):
-            self.assertIs(self.code_of(), exceptions.OverloadedError)
+        with mock.patch.object(service_calls, 'MAX_RUNNING_CALLS', 0):
+            self.assertIs(self.error_type_of(), exceptions.OverloadedError)
 
-    def take_platform_down(self):
+    def disconnect_platform(self):
         """Let the platform answer nothing."""
         self.store.down = True
 
-    def until_done(self, key='d1', repeated=exceptions.CarobforkError):
+    def call_until_done(self, key='d1', retried=exceptions.CarobforkError):
         """Repeat a call while it meets an error."""
         with gevent.Timeout(30):
             while True:
                 try:
                     return self.call(key)
-                except repeated:
+                except retried:
                     gevent.sleep(0)
 
 
