--- a/bench/grants.py
+++ b/bench/grants.py
@@ -5,7 +5,12 @@
 
 from bench import modelled
 from carobfork import clock
-from carobfork.coordination import dispatchers, limits, orders, pools
+from carobfork.coordination import (
+    dispatchers,
+    pools,
+    queue_orders,
+    slot_limiters,
+)
 from carobfork.state import bundles
 
 QUEUE_SIZES = (100, 1000, 4000)
@@ -29,7 +34,7 @@
 
 def _time_grants(size: int) -> float:
     bundle = modelled.make_bundle(bundles.Policy(admission='all'))
-    pool = pools.split(bundle.models[0])[0]
+    pool = pools.split_model(bundle.models[0])[0]
     dispatcher = dispatchers.Dispatcher(pool, bundle, clock.SystemClock())
     for number in range(size):
         dispatcher.submit(_call(number))
@@ -39,12 +44,14 @@
         grant = dispatcher.grant_next()
         if grant is None:
             grant = next(iter(dispatcher.granted.values()))
-        dispatcher.release(grant.request.identifier, limits.Served(held_ms=1))
+        dispatcher.release(
+            grant.request.identifier, slot_limiters.CallReport(held_ms=1)
+        )
     return time.perf_counter() - started
 
 
-def _call(number: int) -> orders.SlotRequest:
-    return orders.SlotRequest(
+def _call(number: int) -> queue_orders.SlotRequest:
+    return queue_orders.SlotRequest(
         identifier=f'{number:016x}',
         program=f'p{number}',
         model=modelled.MODEL,
--- a/bench/modelled.py
+++ b/bench/modelled.py
@@ -12,7 +12,12 @@
 import attrs
 
 from carobfork import clock, exceptions
-from carobfork.coordination import dispatchers, limits, orders, pools
+from carobfork.coordination import (
+    dispatchers,
+    pools,
+    queue_orders,
+    slot_limiters,
+)
 from carobfork.state import bundles
 
 MODEL = 'talk'
@@ -122,7 +127,7 @@
         """Schedule the programs' arrivals."""
         self.result = Result()
         self.timer = clock.ManualClock()
-        pool = pools.split(bundle.models[0])[0]
+        pool = pools.split_model(bundle.models[0])[0]
         self.dispatcher = dispatchers.Dispatcher(pool, bundle, self.timer)
         self._events: list = []
         self._number = 0
@@ -155,13 +160,13 @@
         self._after(WAKE_MS, self._wake)
 
     def _tick(self) -> None:
-        for request in self.dispatcher.shorten():
+        for request in self.dispatcher.shed_excess():
             self._refuse(self._programs[request.program], TICK_MS)
         self._after(TICK_MS, self._tick)
 
     def _submit(self, program: Program) -> None:
         self._programs[program.name] = program
-        request = orders.SlotRequest(
+        request = queue_orders.SlotRequest(
             identifier=f'{program.name}.{program.position}',
             program=program.name,
             model=MODEL,
@@ -203,7 +208,7 @@
         between_ms = STEP_MS + STEP_PER_SEQUENCE_MS * busy
         held_ms = first_ms + between_ms * program.turn.output_tokens
         program.worker = worker
-        served = limits.Served(
+        served = slot_limiters.CallReport(
             held_ms=held_ms,
             first_token_ms=first_ms,
             between_tokens_ms=between_ms,
@@ -212,7 +217,9 @@
         )
         self._after(held_ms, self._finish, program, served)
 
-    def _finish(self, program: Program, served: limits.Served) -> None:
+    def _finish(
+        self, program: Program, served: slot_limiters.CallReport
+    ) -> None:
         identifier = f'{program.name}.{program.position}'
         self.dispatcher.release(identifier, served)
         self.result.served_tokens[program.rank] += served.tokens
--- a/bench/orders.py
+++ b/bench/orders.py
@@ -10,7 +10,7 @@
 import attrs
 
 from bench import tables
-from carobfork.coordination import orders
+from carobfork.coordination import queue_orders
 from carobfork.state import bundles
 
 RARE_PERCENT = 10
@@ -36,20 +36,20 @@
 def compare_orders() -> None:
     """Compare the orders, and other ageings of least attained service."""
     for ageing in AGEINGS:
-        orders.register(f'least_attained, ageing {ageing}')(_aged(ageing))
-    orders.register('program_arrival')(_program_number)
+        queue_orders.register(f'least_attained, ageing {ageing}')(_aged(ageing))
+    queue_orders.register('program_arrival')(_program_number)
     loads = (
         *STEADY,
         tables.Load('1.0 mostly urgent', urgent_percent=100 - 2 * RARE_PERCENT),
     )
-    tables.compare(BASE, loads, 'order', list(orders.ORDERS))
+    tables.compare(BASE, loads, 'order', list(queue_orders.ORDERS))
 
 
-def _aged(ageing: float) -> orders.KeyFunction:
+def _aged(ageing: float) -> queue_orders.KeyFunction:
     return lambda call: call.attained_tokens + call.arrived_ms * ageing
 
 
-def _program_number(call: orders.SlotRequest) -> float:
+def _program_number(call: queue_orders.SlotRequest) -> float:
     return float(call.program.removeprefix('p'))
 
 
--- a/bench/slot_limits.py
+++ b/bench/slot_limits.py
@@ -15,7 +15,7 @@
 import gevent  # noqa: E402
 
 from carobfork import clock  # noqa: E402
-from carobfork.coordination import limits, slots  # noqa: E402
+from carobfork.coordination import slot_limiters, slots  # noqa: E402
 from carobfork_standins import batching  # noqa: E402
 
 SEEDS = (1, 2, 3)
@@ -38,7 +38,7 @@
     :param pace: the engine's.
     """
 
-    limiter: limits.SlotLimiter
+    limiter: slot_limiters.SlotLimiter
     source: random.Random
     batch: batching.Batch
     busy: int = 0
@@ -80,9 +80,9 @@
         while not sequence.finished:
             sequence.progress.clear()
             sequence.progress.wait()
-            slot.touch()
-        slot.settle(len(sequence.produced), 0)
-        served = slot.served()
+            slot.record_output()
+        slot.record_usage(len(sequence.produced), 0)
+        served = slot.report()
         self.between_ms.append(served.between_tokens_ms)
         self.limiter.observe(served, self.busy)
         self.busy -= 1
@@ -91,7 +91,7 @@
 def main() -> None:
     """Run every limiter with every seed."""
     for seed in SEEDS:
-        for name, policy in limits.LIMITS.items():
+        for name, policy in slot_limiters.LIMITERS.items():
             limiter = policy(TARGET_MS)
             source = random.Random(seed)
             for pace in (FAST, SLOW):
--- a/src/carobfork/composition.py
+++ b/src/carobfork/composition.py
@@ -22,15 +22,15 @@
     membership,
     model_calls,
     ownerships,
-    peer_slots,
     pool_hosts,
     pool_routes,
     registrations,
     routing,
+    slot_clients,
 )
 from carobfork.inspections import counted_stores, inspectors, noted_calls
 from carobfork.protocol import callers, documents, key_files, operators
-from carobfork.state import bundles, identifiers, limits, programs
+from carobfork.state import bundles, identifiers, programs, validators
 from carobfork.transport import (
     peers,
     platforms,
@@ -43,8 +43,8 @@
 class EntrySettings:
     """Settings of an entry host."""
 
-    host: str = attrs.field(validator=limits.name)
-    failure_domain: str = attrs.field(validator=limits.name)
+    host: str = attrs.field(validator=validators.name)
+    failure_domain: str = attrs.field(validator=validators.name)
     caller_address: bundles.Address
     operator_address: bundles.Address
     peer_address: bundles.Address
@@ -52,7 +52,7 @@
     bundle_public_key_file: str
     peer_key_file: str
     log_format: str = attrs.field(
-        default='json', validator=limits.one_of(logs.FORMATS)
+        default='json', validator=validators.one_of(logs.FORMATS)
     )
     caller_limits: readers.Limits = attrs.Factory(readers.Limits)
     seed_peers: tuple[bundles.Address, ...] = ()
@@ -192,10 +192,10 @@
         self.pool_host = pool_hosts.PoolHost(
             mailbox, self.timer, self._backing.health.unusable
         )
-        self.broker = peer_slots.PeerSlots(mailbox, routes, self.timer)
+        self.broker = slot_clients.SlotClient(mailbox, routes, self.timer)
         for part in (self.pool_host, self.broker):
             self.holder.subscribe(part.apply_bundle)
-        self.members.on_death(self.pool_host.forget_host)
+        self.members.on_death(self.pool_host.release_host)
         self.members.on_death(self.broker.reroute)
 
     def _start(self, *loops) -> None:
--- a/src/carobfork/coordination/accounts.py
+++ b/src/carobfork/coordination/accounts.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from carobfork.coordination import floors, limits, placements
+from carobfork.coordination import placements, rank_deficits, slot_limiters
 
 FIRST_ESTIMATE_TOKENS = 200
 
@@ -18,7 +18,7 @@
         self._waiting = waiting
         self._means_tokens: dict[int, float] = {}
 
-    def charge(self, floor: floors.Floor, rank: int) -> float:
+    def charge(self, floor: rank_deficits.RankDeficits, rank: int) -> float:
         """Charge a rank for a slot and return the tokens charged."""
         tokens = self._means_tokens.get(rank, FIRST_ESTIMATE_TOKENS)
         floor.charge(rank, tokens, self._waiting() | {rank})
@@ -26,14 +26,14 @@
 
     def settle(
         self,
-        floor: floors.Floor,
+        floor: rank_deficits.RankDeficits,
         rank: int,
         charged_tokens: float,
-        served: limits.Served,
+        served: slot_limiters.CallReport,
     ) -> None:
         """Correct a charge by what was served."""
         floor.charge(rank, served.tokens - charged_tokens, self._waiting())
         if served.tokens:
-            self._means_tokens[rank] = placements.average(
+            self._means_tokens[rank] = placements.moving_average(
                 self._means_tokens.get(rank, 0), served.tokens
             )
--- a/src/carobfork/coordination/admissions.py
+++ b/src/carobfork/coordination/admissions.py
@@ -8,9 +8,9 @@
 
 import attrs
 
-NEW_PROGRAM_PART = 0.25
-STARTED_PROGRAM_PART = 2
-RARE_KIND_PART = 2
+NEW_PROGRAM_LIMIT_RATIO = 0.25
+STARTED_PROGRAM_LIMIT_RATIO = 2
+RARE_KIND_LIMIT_RATIO = 2
 
 
 @attrs.frozen
@@ -21,9 +21,9 @@
     queue_limit_ms: int
     started: bool
     """Whether work was done for the call's program before."""
-    kind_part: float
+    kind_ratio: float
     """Part of the rank's waiting calls that are of the same kind."""
-    kinds: int
+    kind_count: int
     """Kinds of programs among the rank's waiting calls."""
 
 
@@ -54,13 +54,17 @@
 
 
 @register('by_program')
-def admit_programs(arrival: Arrival) -> bool:
+def admit_started_first(arrival: Arrival) -> bool:
     """Refuse new programs first, so that those under way can finish.
 
     A kind with less than its part of the queue is refused later, so that a
     flood of one kind leaves room for the others.
     """
-    part = STARTED_PROGRAM_PART if arrival.started else NEW_PROGRAM_PART
-    if arrival.kind_part * arrival.kinds < 1:
-        part *= RARE_KIND_PART
+    part = (
+        STARTED_PROGRAM_LIMIT_RATIO
+        if arrival.started
+        else NEW_PROGRAM_LIMIT_RATIO
+    )
+    if arrival.kind_ratio * arrival.kind_count < 1:
+        part *= RARE_KIND_LIMIT_RATIO
     return arrival.expected_wait_ms <= arrival.queue_limit_ms * part
--- a/src/carobfork/coordination/attempts.py
+++ b/src/carobfork/coordination/attempts.py
@@ -18,9 +18,9 @@
     calls,
     homes,
     journals,
-    orders,
     ports,
     prefixes,
+    queue_orders,
     runs,
     slots,
 )
@@ -129,10 +129,10 @@
         request = self._slot_request(work, prompt.attempt, tuple(tried))
         ledger = work.program.ledger
         ledger.reserve(
-            dispatched.reservation, budgets.Reservation(work.reserved_tokens)
+            dispatched.reservation_id, budgets.Reservation(work.reserved_tokens)
         )
         with contextlib.ExitStack() as undo:
-            undo.callback(ledger.release, dispatched.reservation)
+            undo.callback(ledger.release, dispatched.reservation_id)
             with self._home.slots.acquire(request) as slot:
                 tried.append(slot.worker)
                 dispatched = attrs.evolve(
@@ -144,7 +144,7 @@
                 undo.pop_all()
                 self._stream(work, dispatched, prompt, slot)
                 answer = self._backend.decode(work.run.raw_events())
-                slot.settle(answer.output_tokens, answer.prefilled_tokens)
+                slot.record_usage(answer.output_tokens, answer.prefilled_tokens)
         return self._record(work, dispatched)
 
     def _stream(
@@ -159,7 +159,7 @@
         with self._giving_up(work.program, worker, dispatched):
             try:
                 for events in self._backend.stream(worker, prompt):
-                    slot.touch()
+                    slot.record_output()
                     work.run.push(events)
             except exceptions.ConnectionFailedError as error:
                 if work.run.is_empty:
@@ -276,9 +276,9 @@
 
     def _slot_request(
         self, work: ModelWork, identifier: str, tried: tuple[str, ...]
-    ) -> orders.SlotRequest:
+    ) -> queue_orders.SlotRequest:
         history = work.program.history()
-        return orders.SlotRequest(
+        return queue_orders.SlotRequest(
             identifier=identifier,
             program=work.program.identifier,
             model=work.call.model,
--- a/src/carobfork/coordination/backlogs.py
+++ b/src/carobfork/coordination/backlogs.py
@@ -3,12 +3,17 @@
 from collections.abc import Iterator
 
 from carobfork import exceptions
-from carobfork.coordination import admissions, floors, orders, queues
+from carobfork.coordination import (
+    admissions,
+    queue_orders,
+    queues,
+    rank_deficits,
+)
 from carobfork.state import bundles
 
-QUEUE_LIMIT = 5000
-MIN_RETRY_MS = 100
-MIN_PART = 0.01
+MAX_QUEUED_CALLS = 5000
+MIN_RETRY_AFTER_MS = 100
+MIN_CAPACITY_RATIO = 0.01
 
 
 class Backlog:
@@ -19,8 +24,10 @@
 
     def __init__(self, bundle: bundles.Bundle) -> None:
         """Start empty."""
-        order = orders.ORDERS[bundle.policy.order]
-        self.floor = floors.Floor([rank.share for rank in bundle.ranks])
+        order = queue_orders.ORDERS[bundle.policy.order]
+        self.deficits = rank_deficits.RankDeficits(
+            [rank.share for rank in bundle.ranks]
+        )
         self._ranks = bundle.ranks
         self._by_rank = order.by_rank
         self._admit = admissions.ADMISSIONS[bundle.policy.admission]
@@ -35,31 +42,31 @@
         """Tell whether a call waits."""
         return any(identifier in queue.requests for queue in self._queues)
 
-    def __iter__(self) -> Iterator[orders.SlotRequest]:
+    def __iter__(self) -> Iterator[queue_orders.SlotRequest]:
         """Yield the waiting calls."""
         for queue in self._queues:
             yield from queue.requests.values()
 
     @property
-    def lengths(self) -> dict[str, int]:
+    def lengths_by_rank(self) -> dict[str, int]:
         """How many calls wait, by rank."""
         pairs = zip(self._ranks, self._queues, strict=True)
         return {rank.name: len(queue) for rank, queue in pairs}
 
-    def waiting(self) -> set[int]:
+    def waiting_ranks(self) -> set[int]:
         """Return the ranks with waiting calls."""
         return {
             rank for rank, queue in enumerate(self._queues) if queue.requests
         }
 
-    def push(self, request: orders.SlotRequest) -> None:
+    def push(self, request: queue_orders.SlotRequest) -> None:
         """Add a call."""
         rank = self.rank_of(request)
         self._queues[rank].push(request)
         kinds = self._kinds[rank]
         kinds[request.kind] = kinds.get(request.kind, 0) + 1
 
-    def remove(self, identifier: str) -> orders.SlotRequest | None:
+    def remove(self, identifier: str) -> queue_orders.SlotRequest | None:
         """Take a call out, if it waits."""
         for queue in self._queues:
             request = queue.remove(identifier)
@@ -68,14 +75,14 @@
                 return request
         return None
 
-    def pop(self, rank: int) -> orders.SlotRequest | None:
+    def pop(self, rank: int) -> queue_orders.SlotRequest | None:
         """Take out a rank's next call, if there is one."""
         request = self._queues[rank].pop()
         if request is not None:
             self._forget_kind(request)
         return request
 
-    def rank_of(self, request: orders.SlotRequest) -> int:
+    def rank_of(self, request: queue_orders.SlotRequest) -> int:
         """Return the queue that a call waits in.
 
         A rank unknown here, under another bundle's version, is the last.
@@ -84,49 +91,53 @@
             return 0
         return min(request.rank, len(self._queues) - 1)
 
-    def expected_wait_ms(self, rank: int, slot_ms: float) -> float:
+    def expected_wait_ms(self, rank: int, slot_interval_ms: float) -> float:
         """Return how long a rank's next arrival will wait.
 
         :param slot_ms: mean time between two slots that come free.
         """
-        return len(self._queues[rank]) * slot_ms / self._part(rank)
+        return len(self._queues[rank]) * slot_interval_ms / self._part(rank)
 
-    def check(self, request: orders.SlotRequest, slot_ms: float) -> None:
+    def check_admission(
+        self, request: queue_orders.SlotRequest, slot_interval_ms: float
+    ) -> None:
         """Check that a call may wait.
 
         :raises OverloadedError: it is refused, nothing ran.
         """
         rank = self.rank_of(request)
-        wait_ms = self.expected_wait_ms(rank, slot_ms)
-        if len(self) >= QUEUE_LIMIT or not self._admit(
+        wait_ms = self.expected_wait_ms(rank, slot_interval_ms)
+        if len(self) >= MAX_QUEUED_CALLS or not self._admit(
             self._arrival(request, wait_ms)
         ):
-            raise overloaded(request.model, wait_ms)
+            raise overloaded_error(request.model, wait_ms)
 
-    def excess(self, slot_ms: float) -> list[orders.SlotRequest]:
+    def excess(self, slot_interval_ms: float) -> list[queue_orders.SlotRequest]:
         """Return the waiting calls beyond what the ranks' limits allow."""
-        if self._admit is admissions.admit_all or not slot_ms:
+        if self._admit is admissions.admit_all or not slot_interval_ms:
             return []
         beyond = []
         for rank, queue in enumerate(self._queues):
             limit_ms = self._ranks[rank].queue_limit_ms
-            limit_ms *= admissions.STARTED_PROGRAM_PART
-            kept = int(limit_ms * self._part(rank) / slot_ms) + 1
+            limit_ms *= admissions.STARTED_PROGRAM_LIMIT_RATIO
+            kept = int(limit_ms * self._part(rank) / slot_interval_ms) + 1
             if len(queue) > kept:
-                beyond.extend(queue.last(len(queue) - kept))
+                beyond.extend(queue.shed_candidates(len(queue) - kept))
         return beyond
 
     def _part(self, rank: int) -> float:
         """Return the part of the free slots that a rank can count on."""
         part = 1 - sum(
-            self._ranks[lower].share for lower in self.waiting() if lower > rank
+            self._ranks[lower].share
+            for lower in self.waiting_ranks()
+            if lower > rank
         )
-        if any(higher < rank for higher in self.waiting()):
+        if any(higher < rank for higher in self.waiting_ranks()):
             part = min(part, self._ranks[rank].share)
-        return max(part, MIN_PART)
+        return max(part, MIN_CAPACITY_RATIO)
 
     def _arrival(
-        self, request: orders.SlotRequest, wait_ms: float
+        self, request: queue_orders.SlotRequest, wait_ms: float
     ) -> admissions.Arrival:
         rank = self.rank_of(request)
         kinds = self._kinds[rank]
@@ -136,22 +147,22 @@
             expected_wait_ms=wait_ms,
             queue_limit_ms=self._ranks[rank].queue_limit_ms,
             started=request.started,
-            kind_part=same / max(len(self._queues[rank]), 1),
-            kinds=others + 1,
+            kind_ratio=same / max(len(self._queues[rank]), 1),
+            kind_count=others + 1,
         )
 
-    def _forget_kind(self, request: orders.SlotRequest) -> None:
+    def _forget_kind(self, request: queue_orders.SlotRequest) -> None:
         kinds = self._kinds[self.rank_of(request)]
         kinds[request.kind] -= 1
         if not kinds[request.kind]:
             kinds.pop(request.kind)
 
 
-def overloaded(peer: str, wait_ms: float) -> exceptions.OverloadedError:
+def overloaded_error(peer: str, wait_ms: float) -> exceptions.OverloadedError:
     """Return the refusal of a call that would wait too long."""
     return exceptions.OverloadedError(
         f'a slot would come free in about {wait_ms:.0f} ms',
         step='queue',
         peer=peer,
-        retry_after_ms=max(MIN_RETRY_MS, int(wait_ms)),
+        retry_after_ms=max(MIN_RETRY_AFTER_MS, int(wait_ms)),
     )
--- a/src/carobfork/coordination/bundle_checks.py
+++ b/src/carobfork/coordination/bundle_checks.py
@@ -10,16 +10,21 @@
 import attrs
 
 from carobfork import exceptions
-from carobfork.coordination import admissions, limits, orders, placements
+from carobfork.coordination import (
+    admissions,
+    placements,
+    queue_orders,
+    slot_limiters,
+)
 from carobfork.state import bundles
 
 SHARES_LIMIT = 1.0
 _ROUNDING = 1e-9
 
 POLICY_REGISTRIES: dict[str, Mapping[str, object]] = {  # noqa: WPS407
-    'order': orders.ORDERS,
+    'order': queue_orders.ORDERS,
     'placement': placements.PLACEMENTS,
-    'limit': limits.LIMITS,
+    'limit': slot_limiters.LIMITERS,
     'admission': admissions.ADMISSIONS,
 }
 
--- a/src/carobfork/coordination/calls.py
+++ b/src/carobfork/coordination/calls.py
@@ -76,7 +76,7 @@
     :raises ProgramClosedError: it has ended for another reason.
     """
     reason = program.closed_reason or program.ending_reason
-    if reason == programs.OUT_OF_TIME:
+    if reason == programs.TIME_SPENT_REASON:
         raise exceptions.BudgetExceededError(
             f'the program ended: {reason}', step='admit'
         )
--- a/src/carobfork/coordination/chunks.py
+++ b/src/carobfork/coordination/chunks.py
@@ -90,7 +90,7 @@
 
 def is_live(record: records.Record, table: programs.ProgramTable) -> bool:
     """Tell whether a record still matters for the programs of a table."""
-    if isinstance(record, records.FRAMES):
+    if isinstance(record, records.JOURNAL_RECORDS):
         return False
     return _concerns(record, table)
 
--- a/src/carobfork/coordination/claims.py
+++ b/src/carobfork/coordination/claims.py
@@ -6,7 +6,7 @@
 from gevent import event
 
 from carobfork import clock
-from carobfork.coordination import orders, slot_messages
+from carobfork.coordination import queue_orders, slot_messages
 from carobfork.state import identifiers
 
 
@@ -14,7 +14,7 @@
 class Claim:
     """A call that waits for a slot, or holds one on ``worker``."""
 
-    request: orders.SlotRequest
+    request: queue_orders.SlotRequest
     pool: str
     asked_ms: float
     granted: event.AsyncResult = attrs.Factory(event.AsyncResult)
@@ -91,4 +91,6 @@
 
 
 def _digest(claims: Iterable[Claim]) -> int:
-    return slot_messages.digest(claim.request.identifier for claim in claims)
+    return slot_messages.calls_digest(
+        claim.request.identifier for claim in claims
+    )
--- a/src/carobfork/coordination/dispatchers.py
+++ b/src/carobfork/coordination/dispatchers.py
@@ -14,16 +14,16 @@
     accounts,
     backlogs,
     isolations,
-    limits,
-    orders,
     placements,
     placers,
     pools,
+    queue_orders,
+    slot_limiters,
     worker_tables,
 )
 from carobfork.state import bundles
 
-LOOK_AHEAD = 8
+MAX_DEFERRED_CALLS = 8
 
 
 @attrs.frozen
@@ -33,7 +33,7 @@
     ``charged_tokens`` is what the call's rank was charged in advance.
     """
 
-    request: orders.SlotRequest
+    request: queue_orders.SlotRequest
     worker: str
     charged_tokens: float = 0
 
@@ -54,11 +54,11 @@
         self.granted: dict[str, Grant] = {}
         self.workers = worker_tables.WorkerTable(timer)
         self._timer = timer
-        self._isolation = isolations.Isolation(bundle.ranks, timer)
-        self._account = accounts.Account(lambda: self.backlog.waiting())
-        self.apply(pool, bundle)
+        self._isolation = isolations.WorkerIsolation(bundle.ranks, timer)
+        self._account = accounts.Account(lambda: self.backlog.waiting_ranks())
+        self.apply_bundle(pool, bundle)
 
-    def apply(self, pool: pools.Pool, bundle: bundles.Bundle) -> None:
+    def apply_bundle(self, pool: pools.Pool, bundle: bundles.Bundle) -> None:
         """Take over the workers, ranks and policies of a bundle.
 
         Calls that wait stay; slots on workers that were removed run out.
@@ -76,34 +76,36 @@
             placements.PLACEMENTS[bundle.policy.placement], self._timer
         )
 
-    def submit(self, request: orders.SlotRequest) -> None:
+    def submit(self, request: queue_orders.SlotRequest) -> None:
         """Queue a call; one that is known already stays as it is.
 
         :raises OverloadedError: it is refused.
         """
-        if not self.knows(request.identifier):
-            self.backlog.check(request, self.workers.slot_ms)
+        if not self.has_call(request.identifier):
+            self.backlog.check_admission(request, self.workers.slot_interval_ms)
             self._queue(request)
 
-    def restore(self, request: orders.SlotRequest) -> None:
+    def enqueue_admitted(self, request: queue_orders.SlotRequest) -> None:
         """Queue a call that another dispatcher had admitted."""
-        if not self.knows(request.identifier):
+        if not self.has_call(request.identifier):
             self._queue(request)
 
-    def adopt(self, request: orders.SlotRequest, worker: str) -> None:
+    def adopt_grant(
+        self, request: queue_orders.SlotRequest, worker: str
+    ) -> None:
         """Note a slot that another dispatcher had granted."""
         if request.identifier not in self.granted:
             self._forget(request.identifier)
             self.granted[request.identifier] = Grant(request, worker)
-            self.workers.adopt(worker)
-            self._isolation.granted(self.backlog.rank_of(request), worker)
+            self.workers.adopt_slot(worker)
+            self._isolation.record_grant(self.backlog.rank_of(request), worker)
 
-    def knows(self, identifier: str) -> bool:
+    def has_call(self, identifier: str) -> bool:
         """Tell whether a call waits or holds a slot."""
         return identifier in self.granted or identifier in self.backlog
 
     def release(
-        self, identifier: str, served: limits.Served | None = None
+        self, identifier: str, report: slot_limiters.CallReport | None = None
     ) -> None:
         """Forget a call, whether it waits or holds a slot.
 
@@ -113,44 +115,48 @@
         grant = self.granted.pop(identifier, None)
         if grant is None:
             return
-        seen = served or limits.Served()
+        seen = report or slot_limiters.CallReport()
         rank = self.backlog.rank_of(grant.request)
         busy = self.workers.busy(grant.worker)
-        self.workers.release(grant.worker, served)
-        self._isolation.released(rank, grant.worker, seen, busy)
+        self.workers.release(grant.worker, report)
+        self._isolation.record_release(rank, grant.worker, seen, busy)
         self._account.settle(
-            self.backlog.floor, rank, grant.charged_tokens, seen
+            self.backlog.deficits, rank, grant.charged_tokens, seen
         )
 
     def grant_next(self) -> Grant | None:
         """Grant a slot to the next call, if both exist."""
-        free = self.workers.free()
+        free = self.workers.available()
         if not free:
             return None
-        ranks = list(self.backlog.floor.ranks(self.backlog.waiting()))
+        ranks = list(
+            self.backlog.deficits.order_ranks(self.backlog.waiting_ranks())
+        )
         for place, rank in enumerate(ranks):
             # A rank that goes before a more urgent one is owed its share.
             is_owed = rank > min(ranks[place:])
             suitable = free
             if not is_owed:
-                suitable = self._isolation.suitable(rank, free)
+                suitable = self._isolation.eligible_workers(rank, free)
             grant = self._grant_in(rank, suitable)
             if grant is not None:
                 return grant
         return None
 
-    def shorten(self) -> list[orders.SlotRequest]:
+    def shed_excess(self) -> list[queue_orders.SlotRequest]:
         """Take out and return calls that would wait too long."""
-        beyond = self.backlog.excess(self.workers.slot_ms)
+        beyond = self.backlog.excess(self.workers.slot_interval_ms)
         for request in beyond:
             self._forget(request.identifier)
         return beyond
 
     def expected_wait_ms(self, rank: int) -> float:
         """Return how long a rank's next arrival will wait."""
-        return self.backlog.expected_wait_ms(rank, self.workers.slot_ms)
+        return self.backlog.expected_wait_ms(
+            rank, self.workers.slot_interval_ms
+        )
 
-    def _queue(self, request: orders.SlotRequest) -> None:
+    def _queue(self, request: queue_orders.SlotRequest) -> None:
         arrived_ms = self._timer.now_ms() - request.waited_ms
         self.backlog.push(attrs.evolve(request, arrived_ms=arrived_ms))
 
@@ -160,7 +166,7 @@
         """Grant to one of the first calls of a rank that takes a slot."""
         passed = []
         grant = None
-        while free and grant is None and len(passed) < LOOK_AHEAD:
+        while free and grant is None and len(passed) < MAX_DEFERRED_CALLS:
             request = self.backlog.pop(rank)
             if request is None:
                 break
@@ -178,15 +184,15 @@
 
     def _grant(
         self,
-        request: orders.SlotRequest,
+        request: queue_orders.SlotRequest,
         load: placements.WorkerLoad,
         rank: int,
     ) -> Grant:
         self._placer.forget(request.identifier)
         load.busy += 1
-        load.granted += 1
-        self._isolation.granted(rank, load.name)
-        tokens = self._account.charge(self.backlog.floor, rank)
+        load.granted_total += 1
+        self._isolation.record_grant(rank, load.name)
+        tokens = self._account.charge(self.backlog.deficits, rank)
         grant = Grant(request, load.name, tokens)
         self.granted[request.identifier] = grant
         return grant
--- a/src/carobfork/coordination/gone_programs.py
+++ b/src/carobfork/coordination/gone_programs.py
@@ -53,7 +53,7 @@
         :raises UnknownProgramError: it is not homed here.
         :raises PlatformError: not recorded in time; it still will be.
         """
-        tree = self._home.table.tree(identifier)
+        tree = self._home.table.subtree(identifier)
         ends = self._home.begin_end(identifier, reason)
         for program in tree:
             self._models.cancel(program.identifier, reason)
@@ -91,9 +91,9 @@
     def _end_if_gone(self, program: programs.Program) -> None:
         reason = ''
         if program.ledger.free_time_ms <= 0:
-            reason = programs.OUT_OF_TIME
+            reason = programs.TIME_SPENT_REASON
         elif program.idle_ms > self._idle_limit_ms(program):
-            reason = programs.IDLE
+            reason = programs.IDLE_REASON
         if reason:
             logger.info(
                 'A program is gone.', program=program.identifier, reason=reason
@@ -110,7 +110,7 @@
         for kind in self._home.bundle.programs:
             if kind.name == program.kind:
                 return kind.idle_limit_ms
-        return bundles.IDLE_LIMIT_MS
+        return bundles.DEFAULT_IDLE_LIMIT_MS
 
     def _record_time(self) -> None:
         spent_ms = {
--- a/src/carobfork/coordination/homes.py
+++ b/src/carobfork/coordination/homes.py
@@ -68,7 +68,7 @@
         """
         kind = bundles.find(self.bundle.programs, kind_name, 'program')
         rank = bundles.find(self.bundle.ranks, kind.rank, 'rank')
-        self.slots.check_door(
+        self.slots.check_new_program(
             self.bundle.rank_position(rank.name), rank.queue_limit_ms
         )
         return self._record_opening(kind, kind.budget, parent='')
@@ -102,7 +102,7 @@
         Return the records of their ends, to be waited for.
         """
         ends = []
-        for program in self.table.tree(identifier):
+        for program in self.table.subtree(identifier):
             if program.is_open:
                 end = records.ProgramClosed(program.identifier, reason)
                 ends.append(self.journal.enqueue(end))
--- a/src/carobfork/coordination/isolations.py
+++ b/src/carobfork/coordination/isolations.py
@@ -11,10 +11,10 @@
 from collections.abc import Sequence
 
 from carobfork import clock
-from carobfork.coordination import limits, paces, placements
+from carobfork.coordination import latency_models, placements, slot_limiters
 from carobfork.state import bundles
 
-HOLD_MS = 3000
+ISOLATION_TTL_MS = 3000
 """How long an engine stays isolated after its last isolating grant."""
 _OTHERS_PART = 0.5
 """Part of the short batch that calls of other ranks may fill."""
@@ -23,7 +23,7 @@
 is isolated."""
 
 
-class Isolation:
+class WorkerIsolation:
     """Choose the workers that a rank's calls may use.
 
     :param ranks: the bundle's ranks, most urgent first.
@@ -36,7 +36,7 @@
         """Start without isolated workers."""
         self._ranks = ranks
         self._timer = timer
-        self._paces: dict[str, paces.Pace] = {}
+        self._paces: dict[str, latency_models.LatencyModel] = {}
         self._isolating: collections.Counter[str] = collections.Counter()
         self._until_ms: dict[str, float] = {}
 
@@ -44,27 +44,31 @@
         """Take over the ranks of a bundle."""
         self._ranks = ranks
 
-    def isolates(self, rank: int) -> bool:
+    def has_latency_target(self, rank: int) -> bool:
         """Tell whether a rank asks for a time between tokens."""
         return bool(self._target_ms(rank))
 
-    def granted(self, rank: int, worker: str) -> None:
+    def record_grant(self, rank: int, worker: str) -> None:
         """Note a slot that was granted."""
-        if self.isolates(rank):
+        if self.has_latency_target(rank):
             self._isolating[worker] += 1
-            self._until_ms[worker] = self._timer.now_ms() + HOLD_MS
-
-    def released(
-        self, rank: int, worker: str, served: limits.Served, busy: int
+            self._until_ms[worker] = self._timer.now_ms() + ISOLATION_TTL_MS
+
+    def record_release(
+        self,
+        rank: int,
+        worker: str,
+        report: slot_limiters.CallReport,
+        busy: int,
     ) -> None:
         """Note a slot that came free, and learn from it."""
-        if self.isolates(rank):
+        if self.has_latency_target(rank):
             self._isolating[worker] = max(0, self._isolating[worker] - 1)
-        if served.between_tokens_ms:
-            pace = self._paces.setdefault(worker, paces.Pace())
-            pace.observe(busy, served.between_tokens_ms)
+        if report.between_tokens_ms:
+            pace = self._paces.setdefault(worker, latency_models.LatencyModel())
+            pace.observe(busy, report.between_tokens_ms)
 
-    def suitable(
+    def eligible_workers(
         self, rank: int, free: Sequence[placements.WorkerLoad]
     ) -> Sequence[placements.WorkerLoad]:
         """Return the free workers that a rank's call may use now.
@@ -73,7 +77,7 @@
         isolated ones with room first, so that few are isolated.
         """
         kept = self._kept(free)
-        if not self.isolates(rank):
+        if not self.has_latency_target(rank):
             return [load for load in free if self._admits_others(load, kept)]
         short = [load for load in free if load.busy < self._short(load, rank)]
         isolated = [load for load in short if load.name in kept]
@@ -101,7 +105,7 @@
         shorts = [
             self._short(load, rank)
             for rank in range(len(self._ranks))
-            if self.isolates(rank)
+            if self.has_latency_target(rank)
         ]
         return min(shorts, default=load.slot_limit)
 
@@ -109,7 +113,7 @@
         pace = self._paces.get(load.name)
         if pace is None:
             return load.slot_limit
-        return pace.slots_for(self._target_ms(rank))
+        return pace.max_slots(self._target_ms(rank))
 
     def _target_ms(self, rank: int) -> float:
         if rank >= len(self._ranks):
--- a/src/carobfork/coordination/paces.py
+++ b/src/carobfork/coordination/latency_models.py
@@ -10,7 +10,7 @@
 _LEAST_SLOTS = 1
 
 
-class Pace:
+class LatencyModel:
     """Fit the time between tokens as a line over the slots in use."""
 
     def __init__(self) -> None:
@@ -21,15 +21,15 @@
         self._busy_squared = 0
         self._product = 0
 
-    def observe(self, busy: int, between_ms: float) -> None:
+    def observe(self, busy: int, between_tokens_ms: float) -> None:
         """Learn from a call that ended while ``busy`` slots were held."""
         self._weight = self._weight * _MEMORY + 1
         self._busy = self._busy * _MEMORY + busy
-        self._between_ms = self._between_ms * _MEMORY + between_ms
+        self._between_ms = self._between_ms * _MEMORY + between_tokens_ms
         self._busy_squared = self._busy_squared * _MEMORY + busy * busy
-        self._product = self._product * _MEMORY + busy * between_ms
+        self._product = self._product * _MEMORY + busy * between_tokens_ms
 
-    def slots_for(self, target_ms: float) -> float:
+    def max_slots(self, target_ms: float) -> float:
         """Return how many slots keep the target, infinite if unknown."""
         if not self._between_ms:
             return math.inf
--- a/src/carobfork/coordination/placements.py
+++ b/src/carobfork/coordination/placements.py
@@ -8,11 +8,11 @@
 
 import attrs
 
-from carobfork.coordination import limits, orders
+from carobfork.coordination import queue_orders, slot_limiters
 
 DEFAULT_PREFILL_TOKENS_PER_MS = 10
-FIRST_RETRY_MS = 200
-MAX_DOUBLINGS = 5
+INITIAL_RETRY_DELAY_MS = 200
+MAX_RETRY_DOUBLINGS = 5
 _WEIGHT = 0.1
 
 
@@ -21,12 +21,12 @@
     """What the dispatcher knows of one worker."""
 
     name: str
-    limiter: limits.SlotLimiter
+    limiter: slot_limiters.SlotLimiter
     busy: int = 0
     leaving: bool = False
-    awaited: int = 0
+    deferred_calls: int = 0
     """Calls that wait for this worker while others are free."""
-    granted: int = 0
+    granted_total: int = 0
     """Slots granted since the start."""
     hold_ms: float = 0
     """How long a slot is held on average, 0 where unknown."""
@@ -46,7 +46,7 @@
         """Slots that may be granted now, but for failures."""
         return 0 if self.leaving else self.slot_limit - self.busy
 
-    def is_free(self, now_ms: float) -> bool:
+    def is_available(self, now_ms: float) -> bool:
         """Tell whether a slot may be granted.
 
         After a failure, one call at a time finds out whether it is over.
@@ -56,11 +56,11 @@
         return self.free > 0
 
     @property
-    def next_free_ms(self) -> float:
+    def expected_wait_ms(self) -> float:
         """How long until a slot comes free for one more call."""
-        return self.hold_ms * (self.awaited + 1) / max(self.busy, 1)
+        return self.hold_ms * (self.deferred_calls + 1) / max(self.busy, 1)
 
-    def is_awaitable(self, request: orders.SlotRequest) -> bool:
+    def is_awaitable(self, request: queue_orders.SlotRequest) -> bool:
         """Tell whether a call may wait for this worker."""
         failing = self.failures or self.name in request.avoided
         return not failing and not self.leaving
@@ -73,25 +73,25 @@
         self.busy += 1
         self.limiter.limit = max(self.limiter.limit, self.busy)
 
-    def observe(self, served: limits.Served, now_ms: float) -> None:
+    def observe(self, report: slot_limiters.CallReport, now_ms: float) -> None:
         """Learn from a slot that was released."""
-        if served.failed:
-            doublings = min(self.failures, MAX_DOUBLINGS)
+        if report.failed:
+            doublings = min(self.failures, MAX_RETRY_DOUBLINGS)
             self.failures += 1
-            self.retry_at_ms = now_ms + (FIRST_RETRY_MS << doublings)
+            self.retry_at_ms = now_ms + (INITIAL_RETRY_DELAY_MS << doublings)
             return
         self.failures = 0
-        self.limiter.observe(served, self.busy)
-        self.hold_ms = average(self.hold_ms, served.held_ms)
-        if served.first_token_ms and served.prefilled_tokens:
-            self.prefill_tokens_per_ms = average(
+        self.limiter.observe(report, self.busy)
+        self.hold_ms = moving_average(self.hold_ms, report.held_ms)
+        if report.first_token_ms and report.prefilled_tokens:
+            self.prefill_tokens_per_ms = moving_average(
                 self.prefill_tokens_per_ms,
-                served.prefilled_tokens / served.first_token_ms,
+                report.prefilled_tokens / report.first_token_ms,
             )
 
 
 @attrs.frozen
-class Choice:
+class Candidates:
     """What a placement chooses from.
 
     ``passed_ms`` is how long the call has been passed over already.
@@ -99,10 +99,12 @@
 
     free: Sequence[WorkerLoad]
     workers: Mapping[str, WorkerLoad]
-    passed_ms: float = 0
+    deferred_ms: float = 0
 
 
-PlacementPolicy = Callable[[orders.SlotRequest, Choice], WorkerLoad | None]
+PlacementPolicy = Callable[
+    [queue_orders.SlotRequest, Candidates], WorkerLoad | None
+]
 PLACEMENTS: dict[str, PlacementPolicy] = {}  # noqa: WPS407
 
 
@@ -116,47 +118,53 @@
     return decorator
 
 
-def average(mean: float, fresh: float) -> float:
+def moving_average(mean: float, sample: float) -> float:
     """Return a moving average; a mean of 0 stands for no samples yet."""
-    return mean + _WEIGHT * (fresh - mean) if mean else fresh
+    return mean + _WEIGHT * (sample - mean) if mean else sample
 
 
 @register('round_robin')
-def fewest_granted(
-    request: orders.SlotRequest, choice: Choice
+def place_round_robin(
+    request: queue_orders.SlotRequest, candidates: Candidates
 ) -> WorkerLoad | None:
     """Take turns."""
-    return min(choice.free, key=lambda load: load.granted)
+    return min(candidates.free, key=lambda load: load.granted_total)
 
 
 @register('least_loaded')
-def most_free(request: orders.SlotRequest, choice: Choice) -> WorkerLoad | None:
+def place_least_loaded(
+    request: queue_orders.SlotRequest, candidates: Candidates
+) -> WorkerLoad | None:
     """Choose the worker with the most free slots."""
-    return max(choice.free, key=lambda load: (load.free, -load.granted))
+    return max(
+        candidates.free, key=lambda load: (load.free, -load.granted_total)
+    )
 
 
 @register('affinity')
-def cached_prefix(
-    request: orders.SlotRequest, choice: Choice
+def place_by_affinity(
+    request: queue_orders.SlotRequest, candidates: Candidates
 ) -> WorkerLoad | None:
     """Return to the worker that holds the prefix, else the least loaded."""
-    for load in choice.free:
+    for load in candidates.free:
         if load.name == request.last_worker:
             return load
-    return most_free(request, choice)
+    return place_least_loaded(request, candidates)
 
 
 @register('affinity_by_cost')
-def cheapest(request: orders.SlotRequest, choice: Choice) -> WorkerLoad | None:
+def place_by_cost(
+    request: queue_orders.SlotRequest, candidates: Candidates
+) -> WorkerLoad | None:
     """Wait for the worker that holds the prefix while that is cheaper.
 
     Waiting is given up once it has lasted as long as the prefill elsewhere.
     """
-    best = cached_prefix(request, choice)
-    cached = choice.workers.get(request.last_worker)
+    best = place_by_affinity(request, candidates)
+    cached = candidates.workers.get(request.last_worker)
     if cached is None or best is cached or not cached.is_awaitable(request):
         return best
     prefill_ms = request.prompt_tokens / best.prefill_tokens_per_ms
-    if choice.passed_ms + cached.next_free_ms < prefill_ms:
+    if candidates.deferred_ms + cached.expected_wait_ms < prefill_ms:
         return None
     return best
--- a/src/carobfork/coordination/placers.py
+++ b/src/carobfork/coordination/placers.py
@@ -5,7 +5,7 @@
 import attrs
 
 from carobfork import clock
-from carobfork.coordination import orders, placements
+from carobfork.coordination import placements, queue_orders
 
 
 @attrs.frozen
@@ -33,7 +33,7 @@
 
     def place(
         self,
-        request: orders.SlotRequest,
+        request: queue_orders.SlotRequest,
         free: Sequence[placements.WorkerLoad],
         workers: Mapping[str, placements.WorkerLoad],
     ) -> placements.WorkerLoad | None:
@@ -42,11 +42,11 @@
         passed = self._passed.get(request.identifier)
         since_ms = passed.since_ms if passed else now_ms
         load = self._policy(
-            request, placements.Choice(free, workers, now_ms - since_ms)
+            request, placements.Candidates(free, workers, now_ms - since_ms)
         )
         if load is None and passed is None:
             awaited = workers[request.last_worker]
-            awaited.awaited += 1
+            awaited.deferred_calls += 1
             self._passed[request.identifier] = _Passed(awaited, now_ms)
         return load
 
@@ -54,4 +54,4 @@
         """Forget a call that was placed or went away."""
         passed = self._passed.pop(identifier, None)
         if passed is not None:
-            passed.load.awaited -= 1
+            passed.load.deferred_calls -= 1
--- a/src/carobfork/coordination/pool_hosts.py
+++ b/src/carobfork/coordination/pool_hosts.py
@@ -20,9 +20,9 @@
 )
 from carobfork.state import bundles
 
-TICK_MS = 500
+TICK_INTERVAL_MS = 500
 GRANT_INTERVAL_MS = 50
-DUMPED_POOLS = 50
+MAX_DUMPED_POOLS = 50
 
 
 @attrs.frozen
@@ -58,26 +58,28 @@
         self,
         mailbox: mailboxes.Mailbox,
         timer: clock.Clock,
-        unusable: Callable[[], Iterable[str]] = tuple,
+        find_unusable: Callable[[], Iterable[str]] = tuple,
     ) -> None:
         """Start without pools; a bundle brings them."""
         self._mailbox = mailbox
         self._timer = timer
-        self._unusable = unusable
+        self._unusable = find_unusable
         self._bundle: bundles.Bundle | None = None
         self._pools: dict[str, pools.Pool] = {}
         self._leaving: frozenset[str] = frozenset()
         self._servers: dict[str, pool_servers.PoolServer] = {}
         server = pool_servers.PoolServer
-        mailbox.on(slot_messages.SlotsAsked, self._passing(server.ask))
+        mailbox.on(slot_messages.SlotsAsked, self._passing(server.submit))
         mailbox.on(slot_messages.SlotReleased, self._passing(server.release))
-        mailbox.on(slot_messages.SlotsOpen, self._passing(server.compare))
+        mailbox.on(
+            slot_messages.SlotsOpen, self._passing(server.answer_summary)
+        )
         mailbox.on(slot_messages.SlotsListed, self._passing(server.reconcile))
 
     def apply_bundle(self, bundle: bundles.Bundle) -> None:
         """Take over a bundle's pools; those that it lacks are dropped."""
         self._bundle = bundle
-        self._pools = pools.split_all(bundle)
+        self._pools = pools.split_bundle(bundle)
         for name in set(self._servers) - set(self._pools):
             self._servers.pop(name)
         for name, server in self._servers.items():
@@ -93,15 +95,15 @@
             server.dispatcher.workers.mark_leaving(self._leaving)
             server.grant()
 
-    def forget_host(self, host: routing.EntryHost) -> None:
+    def release_host(self, host: routing.EntryHost) -> None:
         """Free the slots of a host that died."""
         for server in self._servers.values():
-            server.forget_holder(host.incarnation)
+            server.remove_holder(host.incarnation)
 
     def run(self) -> None:
         """Grant what became due until the greenlet is killed."""
         while True:
-            for _ in range(TICK_MS // GRANT_INTERVAL_MS):
+            for _ in range(TICK_INTERVAL_MS // GRANT_INTERVAL_MS):
                 gevent.sleep(clock.to_seconds(GRANT_INTERVAL_MS))
                 self.grant()
             self.tick()
@@ -121,7 +123,7 @@
 
     def describe(self) -> list[PoolState]:
         """Return the state of the pools that are served here."""
-        servers = list(self._servers.items())[:DUMPED_POOLS]
+        servers = list(self._servers.items())[:MAX_DUMPED_POOLS]
         return [_describe(name, server) for name, server in servers]
 
     def _passing(self, action: Callable) -> Callable:
@@ -150,9 +152,9 @@
     dispatcher = server.dispatcher
     return PoolState(
         pool=name,
-        waiting=dispatcher.backlog.lengths,
+        waiting=dispatcher.backlog.lengths_by_rank,
         owed_tokens=[
-            int(tokens) for tokens in dispatcher.backlog.floor.deficits_tokens
+            int(tokens) for tokens in dispatcher.backlog.deficits.deficit_tokens
         ],
         workers=[
             WorkerSlots(
--- a/src/carobfork/coordination/pool_routes.py
+++ b/src/carobfork/coordination/pool_routes.py
@@ -12,11 +12,11 @@
 from carobfork.coordination import pools, routing
 from carobfork.state import identifiers
 
-UNANSWERED_TICKS = 3
+MAX_UNANSWERED_SUMMARIES = 3
 
 
 @attrs.frozen
-class Move:
+class PoolMove:
     """A pool that is served by another host from now on."""
 
     pool: str
@@ -52,35 +52,35 @@
         hosts = self._candidates()
         for name in kept:
             self._current.setdefault(
-                name, pools.responsible(name, hosts).incarnation
+                name, pools.responsible_host(name, hosts).incarnation
             )
 
     def find(self, pool: str) -> identifiers.Incarnation | None:
         """Return the host that serves a pool, nothing for an unknown pool."""
         return self._current.get(pool)
 
-    def asked(self, host: identifiers.Incarnation) -> None:
+    def record_summary(self, host: identifiers.Incarnation) -> None:
         """Note a summary that should be answered."""
         count = self._unanswered.get(host, 0) + 1
         self._unanswered[host] = count
-        if count > UNANSWERED_TICKS and host != self._find_own():
+        if count > MAX_UNANSWERED_SUMMARIES and host != self._find_own():
             self.suspects.add(host)
 
-    def heard(self, host: identifiers.Incarnation) -> None:
+    def record_answer(self, host: identifiers.Incarnation) -> None:
         """Note that a host answers."""
         self._unanswered.pop(host, None)
         self.suspects.discard(host)
 
-    def refresh(self) -> list[Move]:
+    def refresh(self) -> list[PoolMove]:
         """Choose anew among the live hosts and return what moved."""
         live = {host.incarnation for host in self._hosts.live()}
         self.suspects &= live
         hosts = self._candidates()
         moves = []
         for pool, former in self._current.items():
-            current = pools.responsible(pool, hosts).incarnation
+            current = pools.responsible_host(pool, hosts).incarnation
             if current != former:
-                moves.append(Move(pool, former, current))
+                moves.append(PoolMove(pool, former, current))
         for move in moves:
             self._current[move.pool] = move.current
         return moves
--- a/src/carobfork/coordination/pool_servers.py
+++ b/src/carobfork/coordination/pool_servers.py
@@ -5,14 +5,14 @@
 from carobfork import clock, exceptions
 from carobfork.coordination import (
     dispatchers,
-    limits,
     mailboxes,
     pools,
+    slot_limiters,
     slot_messages,
 )
 from carobfork.state import bundles, identifiers
 
-SILENT_TICKS = 20
+MAX_SILENT_TICKS = 20
 SETTLING_TICKS = 2
 
 
@@ -20,9 +20,9 @@
 class Holder:
     """A host with calls open at this pool."""
 
-    open: dict[str, None] = attrs.Factory(dict)
+    open_calls: dict[str, None] = attrs.Factory(dict)
     silent_ticks: int = 0
-    doubtful: bool = False
+    had_mismatch: bool = False
     """Whether its held slots did not match at the last summary."""
 
 
@@ -54,10 +54,10 @@
     def apply(self, pool: pools.Pool, bundle: bundles.Bundle) -> None:
         """Take over a bundle's workers, ranks and policies."""
         self._rank_count = len(bundle.ranks)
-        self.dispatcher.apply(pool, bundle)
+        self.dispatcher.apply_bundle(pool, bundle)
         self.grant()
 
-    def ask(self, message: slot_messages.SlotsAsked) -> None:
+    def submit(self, message: slot_messages.SlotsAsked) -> None:
         """Queue calls; one that has its slot is told again."""
         holder = self._heard(message.sender)
         for request in message.requests:
@@ -77,19 +77,25 @@
         self._close(message.sender, message.identifier, message.served)
         self.grant()
 
-    def compare(self, message: slot_messages.SlotsOpen) -> None:
+    def answer_summary(self, message: slot_messages.SlotsOpen) -> None:
         """Answer a holder's summary.
 
         Held slots must differ twice: a grant may just be on its way, and a
         whole list is long in a flood.
         """
         holder = self._heard(message.sender)
-        held = [name for name in holder.open if name in self.dispatcher.granted]
-        matches = slot_messages.digest(holder.open) == message.open_digest
-        differs = slot_messages.digest(held) != message.held_digest
-        if differs and holder.doubtful:
+        held = [
+            name
+            for name in holder.open_calls
+            if name in self.dispatcher.granted
+        ]
+        matches = (
+            slot_messages.calls_digest(holder.open_calls) == message.open_digest
+        )
+        differs = slot_messages.calls_digest(held) != message.held_digest
+        if differs and holder.had_mismatch:
             matches = False
-        holder.doubtful = differs
+        holder.had_mismatch = differs
         waits_ms = tuple(
             int(self.dispatcher.expected_wait_ms(rank))
             for rank in range(self._rank_count)
@@ -113,21 +119,21 @@
         holder = self._heard(message.sender)
         held = {holding.request.identifier for holding in message.held}
         waiting = {request.identifier for request in message.waiting}
-        for identifier in set(holder.open) - held - waiting:
+        for identifier in set(holder.open_calls) - held - waiting:
             self._close(message.sender, identifier)
         for holding in message.held:
-            self.dispatcher.adopt(holding.request, holding.worker)
+            self.dispatcher.adopt_grant(holding.request, holding.worker)
             self._open(message.sender, holder, holding.request.identifier)
         for request in message.waiting:
-            self.dispatcher.restore(request)
+            self.dispatcher.enqueue_admitted(request)
             self._open(message.sender, holder, request.identifier)
             self._tell_again(request.identifier)
         self.grant()
 
-    def forget_holder(self, sender: identifiers.Incarnation) -> None:
+    def remove_holder(self, sender: identifiers.Incarnation) -> None:
         """Free all slots of a host that is gone."""
         holder = self._holders.pop(sender, Holder())
-        for identifier in list(holder.open):
+        for identifier in list(holder.open_calls):
             self._close(sender, identifier)
         self.grant()
 
@@ -141,7 +147,7 @@
     def tick(self) -> None:
         """Shorten the queue and forget holders that fell silent."""
         self._settling_ticks = max(0, self._settling_ticks - 1)
-        for request in self.dispatcher.shorten():
+        for request in self.dispatcher.shed_excess():
             sender = self._holder_of[request.identifier]
             rank = min(request.rank, self._rank_count - 1)
             wait_ms = self.dispatcher.expected_wait_ms(rank)
@@ -149,9 +155,9 @@
             self._refuse(sender, request.identifier, wait_ms)
         for sender, holder in list(self._holders.items()):
             holder.silent_ticks += 1
-            silent = holder.silent_ticks > SILENT_TICKS
+            silent = holder.silent_ticks > MAX_SILENT_TICKS
             if silent or self._mailbox.is_replaced(sender):
-                self.forget_holder(sender)
+                self.remove_holder(sender)
         self.grant()
 
     def _heard(self, sender: identifiers.Incarnation) -> Holder:
@@ -162,14 +168,14 @@
     def _open(
         self, sender: identifiers.Incarnation, holder: Holder, identifier: str
     ) -> None:
-        holder.open[identifier] = None
+        holder.open_calls[identifier] = None
         self._holder_of[identifier] = sender
 
     def _close(
         self,
         sender: identifiers.Incarnation,
         identifier: str,
-        served: limits.Served | None = None,
+        served: slot_limiters.CallReport | None = None,
     ) -> None:
         """Forget a call, unless another holder has taken it over."""
         if self._holder_of.get(identifier) == sender:
@@ -177,7 +183,7 @@
             self.dispatcher.release(identifier, served)
         holder = self._holders.get(sender)
         if holder is not None:
-            holder.open.pop(identifier, None)
+            holder.open_calls.pop(identifier, None)
 
     def _tell_again(self, identifier: str) -> None:
         grant = self.dispatcher.granted.get(identifier)
--- a/src/carobfork/coordination/pool_waits.py
+++ b/src/carobfork/coordination/pool_waits.py
@@ -4,7 +4,7 @@
 
 from carobfork import clock
 
-EXPIRY_MS = 2000
+WAIT_TTL_MS = 2000
 
 
 @attrs.frozen
@@ -24,13 +24,13 @@
         self._timer = timer
         self._waits: dict[tuple[str, int], _Wait] = {}
 
-    def note(self, pool: str, rank: int, wait_ms: float) -> None:
+    def record(self, pool: str, rank: int, wait_ms: float) -> None:
         """Remember what a rank must wait at a pool."""
         self._waits[pool, rank] = _Wait(wait_ms, self._timer.now_ms())
 
-    def find_ms(self, pool: str, rank: int) -> float:
+    def get_ms(self, pool: str, rank: int) -> float:
         """Return what a rank must wait, 0 where it is not known."""
         wait = self._waits.get((pool, rank))
-        if wait is None or self._timer.now_ms() - wait.noted_ms > EXPIRY_MS:
+        if wait is None or self._timer.now_ms() - wait.noted_ms > WAIT_TTL_MS:
             return 0
         return wait.wait_ms
--- a/src/carobfork/coordination/pools.py
+++ b/src/carobfork/coordination/pools.py
@@ -11,7 +11,7 @@
 from carobfork.coordination import routing
 from carobfork.state import bundles, identifiers
 
-POOL_WORKERS = 15
+MAX_POOL_WORKERS = 15
 
 
 @attrs.frozen
@@ -23,34 +23,34 @@
     workers: tuple[bundles.Worker, ...]
 
 
-def split(model: bundles.Model) -> list[Pool]:
+def split_model(model: bundles.Model) -> list[Pool]:
     """Return the pools of a model."""
-    starts = range(0, len(model.workers), POOL_WORKERS)
+    starts = range(0, len(model.workers), MAX_POOL_WORKERS)
     return [
         Pool(
             f'{model.name}/{number}',
             model.name,
-            model.workers[start : start + POOL_WORKERS],
+            model.workers[start : start + MAX_POOL_WORKERS],
         )
         for number, start in enumerate(starts)
     ]
 
 
-def split_all(bundle: bundles.Bundle) -> dict[str, Pool]:
+def split_bundle(bundle: bundles.Bundle) -> dict[str, Pool]:
     """Return all pools of a bundle by name."""
-    pools = (pool for model in bundle.models for pool in split(model))
+    pools = (pool for model in bundle.models for pool in split_model(model))
     return {pool.name: pool for pool in pools}
 
 
-def responsible(
+def responsible_host(
     pool: str, hosts: Iterable[routing.EntryHost]
 ) -> routing.EntryHost:
     """Return the host whose dispatcher serves a pool."""
     return max(hosts, key=lambda host: _weight(pool, host.incarnation.host))
 
 
-def preferred(
-    request_worker: str, own: str, candidates: Iterable[Pool]
+def preferred_pool(
+    last_worker: str, own_host: str, candidates: Iterable[Pool]
 ) -> Pool:
     """Return the pool that a call of this host asks.
 
@@ -59,9 +59,9 @@
     """
     pools = list(candidates)
     for pool in pools:
-        if any(worker.name == request_worker for worker in pool.workers):
+        if any(worker.name == last_worker for worker in pool.workers):
             return pool
-    return max(pools, key=lambda pool: _weight(pool.name, own))
+    return max(pools, key=lambda pool: _weight(pool.name, own_host))
 
 
 def _weight(pool: str, host: str) -> str:
--- a/src/carobfork/coordination/orders.py
+++ b/src/carobfork/coordination/queue_orders.py
@@ -66,13 +66,13 @@
 
 @register('rank_fifo')
 @register('fifo', by_rank=False)
-def arrival(request: SlotRequest) -> float:
+def by_arrival(request: SlotRequest) -> float:
     """Serve in order of arrival; ``fifo`` does so whatever the rank."""
     return request.arrived_ms
 
 
 @register('least_attained')
-def attained(request: SlotRequest) -> float:
+def least_attained_first(request: SlotRequest) -> float:
     """Serve, within a rank, the program that has been served least.
 
     Each ms of waiting counts as tokens not yet attained. As all waiting
@@ -82,7 +82,7 @@
 
 
 @register('most_attained')
-def negated_attained(request: SlotRequest) -> float:
+def most_attained_first(request: SlotRequest) -> float:
     """Serve, within a rank, the program that has been served most.
 
     Ageing is the same as that of ``least_attained``.
--- a/src/carobfork/coordination/queues.py
+++ b/src/carobfork/coordination/queues.py
@@ -2,7 +2,7 @@
 
 import heapq
 
-from carobfork.coordination import orders
+from carobfork.coordination import queue_orders
 
 _SLACK = 64
 
@@ -13,9 +13,9 @@
     :param policy: gives the sort keys.
     """
 
-    def __init__(self, policy: orders.OrderPolicy) -> None:
+    def __init__(self, policy: queue_orders.OrderPolicy) -> None:
         """Start empty."""
-        self.requests: dict[str, orders.SlotRequest] = {}
+        self.requests: dict[str, queue_orders.SlotRequest] = {}
         self._policy = policy
         self._heap: list[tuple[float, int, str]] = []
         self._number = 0
@@ -24,7 +24,7 @@
         """Return how many calls wait."""
         return len(self.requests)
 
-    def push(self, request: orders.SlotRequest) -> None:
+    def push(self, request: queue_orders.SlotRequest) -> None:
         """Add a call."""
         self.requests[request.identifier] = request
         self._number += 1
@@ -33,11 +33,11 @@
         if len(self._heap) > 2 * len(self.requests) + _SLACK:
             self._compact()
 
-    def remove(self, identifier: str) -> orders.SlotRequest | None:
+    def remove(self, identifier: str) -> queue_orders.SlotRequest | None:
         """Take a call out, if it waits here."""
         return self.requests.pop(identifier, None)
 
-    def pop(self) -> orders.SlotRequest | None:
+    def pop(self) -> queue_orders.SlotRequest | None:
         """Take out the next call, if there is one."""
         while self._heap:
             identifier = heapq.heappop(self._heap)[-1]
@@ -46,7 +46,7 @@
                 return request
         return None
 
-    def last(self, count: int) -> list[orders.SlotRequest]:
+    def shed_candidates(self, count: int) -> list[queue_orders.SlotRequest]:
         """Return calls to give up: of new programs, then the last ones."""
         return heapq.nlargest(
             count,
--- a/src/carobfork/coordination/floors.py
+++ b/src/carobfork/coordination/rank_deficits.py
@@ -7,10 +7,10 @@
 
 from collections.abc import Iterable, Sequence
 
-DEFICIT_LIMIT_TOKENS = 50_000
+MAX_DEFICIT_TOKENS = 50_000
 
 
-class Floor:
+class RankDeficits:
     """Choose the rank to serve next.
 
     :param shares: each rank's share, the most urgent first.
@@ -18,13 +18,13 @@
 
     def __init__(self, shares: Sequence[float]) -> None:
         """Start with nothing owed."""
-        self.deficits_tokens = [0 for _ in shares]
+        self.deficit_tokens = [0 for _ in shares]
         self._shares = tuple(shares)
 
-    def ranks(self, waiting: Iterable[int]) -> list[int]:
+    def order_ranks(self, waiting: Iterable[int]) -> list[int]:
         """Return the waiting ranks in the order in which to serve them."""
         return sorted(
-            waiting, key=lambda rank: (self.deficits_tokens[rank] <= 0, rank)
+            waiting, key=lambda rank: (self.deficit_tokens[rank] <= 0, rank)
         )
 
     def charge(self, served: int, tokens: float, waiting: set[int]) -> None:
@@ -35,13 +35,13 @@
         :param waiting: ranks with waiting calls; others are owed nothing.
         """
         for rank, share in enumerate(self._shares):
-            deficit = self.deficits_tokens[rank] + share * tokens
+            deficit = self.deficit_tokens[rank] + share * tokens
             if rank == served:
                 deficit -= tokens
-            self.deficits_tokens[rank] = _bounded(deficit)
+            self.deficit_tokens[rank] = _bounded(deficit)
             if rank not in waiting:
-                self.deficits_tokens[rank] = 0
+                self.deficit_tokens[rank] = 0
 
 
 def _bounded(deficit: float) -> float:
-    return max(-DEFICIT_LIMIT_TOKENS, min(DEFICIT_LIMIT_TOKENS, deficit))
+    return max(-MAX_DEFICIT_TOKENS, min(MAX_DEFICIT_TOKENS, deficit))
--- a/src/carobfork/coordination/rings.py
+++ b/src/carobfork/coordination/rings.py
@@ -6,22 +6,22 @@
 from carobfork.coordination import routing
 from carobfork.state import identifiers
 
-SUCCESSORS = 6
-KNOWN_NAMES = 2000
+SUCCESSOR_COUNT = 6
+HASH_CACHE_SIZE = 2000
 
 
 def successors(
     hosts: Iterable[routing.EntryHost], name: str
 ) -> list[routing.EntryHost]:
     """Return the hosts that follow a name on the ring, nearest first."""
-    return _from(name, sorted(hosts, key=_position))[:SUCCESSORS]
+    return _from(name, sorted(hosts, key=_position))[:SUCCESSOR_COUNT]
 
 
 def predecessors(
     hosts: Iterable[routing.EntryHost], name: str
 ) -> list[routing.EntryHost]:
     """Return the hosts that have a name among their successors."""
-    return _from(name, sorted(hosts, key=_position))[-SUCCESSORS:]
+    return _from(name, sorted(hosts, key=_position))[-SUCCESSOR_COUNT:]
 
 
 def _from(name: str, ring: list[routing.EntryHost]) -> list[routing.EntryHost]:
@@ -35,6 +35,6 @@
     return _hash(host.incarnation.host)
 
 
-@functools.lru_cache(maxsize=KNOWN_NAMES)
+@functools.lru_cache(maxsize=HASH_CACHE_SIZE)
 def _hash(name: str) -> str:
     return identifiers.digest(name.encode())
--- a/src/carobfork/coordination/segments.py
+++ b/src/carobfork/coordination/segments.py
@@ -151,4 +151,4 @@
 
 
 def _is_frame(record: records.Record) -> bool:
-    return isinstance(record, records.FRAMES)
+    return isinstance(record, records.JOURNAL_RECORDS)
--- a/src/carobfork/coordination/peer_slots.py
+++ b/src/carobfork/coordination/slot_clients.py
@@ -12,24 +12,24 @@
     admissions,
     backlogs,
     claims,
-    limits,
     mailboxes,
-    orders,
     pool_routes,
     pool_waits,
     pools,
+    queue_orders,
+    slot_limiters,
     slot_messages,
     slots,
 )
 from carobfork.state import bundles, identifiers
 
 SLOT_TIMEOUT_MS = 30_000
-TICK_MS = 500
+SUMMARY_INTERVAL_MS = 500
 
 logger = structlog.get_logger(part='slots')
 
 
-class PeerSlots:
+class SlotClient:
     """Get slots from the hosts that are responsible for the pools.
 
     :param mailbox: carries the messages.
@@ -56,14 +56,16 @@
 
     def apply_bundle(self, bundle: bundles.Bundle) -> None:
         """Use a bundle's pools; calls for a pool that is gone fail."""
-        self._pools = pools.split_all(bundle)
+        self._pools = pools.split_bundle(bundle)
         self._routes.apply(self._pools)
         for name in self._claims.pools() - set(self._pools):
             for claim in self._claims.at(name):
                 claim.granted.set_exception(_no_pool(claim.request.model))
 
     @contextlib.contextmanager
-    def acquire(self, request: orders.SlotRequest) -> Iterator[slots.Slot]:
+    def acquire(
+        self, request: queue_orders.SlotRequest
+    ) -> Iterator[slots.Slot]:
         """Wait for a slot and hold it.
 
         :raises OverloadedError: no slot can be had in time.
@@ -77,9 +79,9 @@
         try:
             slot = self._wait(claim)
             yield slot
-            served = slot.served()
+            served = slot.report()
         except exceptions.ConnectionFailedError:
-            served = limits.Served(failed=True)
+            served = slot_limiters.CallReport(failed=True)
             raise
         finally:
             self._claims.remove(claim)
@@ -90,20 +92,20 @@
                 ),
             )
 
-    def check_door(self, rank: int, queue_limit_ms: int) -> None:
+    def check_new_program(self, rank: int, queue_limit_ms: int) -> None:
         """Check that a new program of a rank may be opened.
 
         :raises OverloadedError: its first call would be refused.
         """
-        limit_ms = queue_limit_ms * admissions.NEW_PROGRAM_PART
-        waits_ms = [self._waits.find_ms(pool, rank) for pool in self._pools]
+        limit_ms = queue_limit_ms * admissions.NEW_PROGRAM_LIMIT_RATIO
+        waits_ms = [self._waits.get_ms(pool, rank) for pool in self._pools]
         if waits_ms and min(waits_ms) > limit_ms:
-            raise backlogs.overloaded('program', min(waits_ms))
+            raise backlogs.overloaded_error('program', min(waits_ms))
 
     def run(self) -> None:
         """Compare open calls with the pools' hosts until killed."""
         while True:
-            gevent.sleep(clock.to_seconds(TICK_MS))
+            gevent.sleep(clock.to_seconds(SUMMARY_INTERVAL_MS))
             self.tick()
 
     def tick(self) -> None:
@@ -114,7 +116,7 @@
         for pool in self._claims.pools():
             host = self._routes.find(pool)
             if host is not None:
-                self._routes.asked(host)
+                self._routes.record_summary(host)
                 self._mailbox.send(
                     host, self._claims.summary(self._mailbox.own, pool)
                 )
@@ -130,14 +132,14 @@
                 self._claims.listing(self._mailbox.own, move.pool),
             )
 
-    def _choose(self, request: orders.SlotRequest) -> pools.Pool:
+    def _choose(self, request: queue_orders.SlotRequest) -> pools.Pool:
         candidates = [
             pool for pool in self._pools.values() if pool.model == request.model
         ]
         if not candidates:
             raise _no_pool(request.model)
         own = self._mailbox.own.host
-        return pools.preferred(request.last_worker, own, candidates)
+        return pools.preferred_pool(request.last_worker, own, candidates)
 
     def _wait(self, claim: claims.Claim) -> slots.Slot:
         self._send(
@@ -151,7 +153,9 @@
                 timeout=clock.to_seconds(SLOT_TIMEOUT_MS)
             )
         except gevent.Timeout:
-            raise backlogs.overloaded(claim.pool, SLOT_TIMEOUT_MS) from None
+            raise backlogs.overloaded_error(
+                claim.pool, SLOT_TIMEOUT_MS
+            ) from None
         return slots.Slot(worker, self._timer)
 
     def _send(self, pool: str, message: object) -> None:
@@ -160,7 +164,7 @@
             self._mailbox.send(host, message)
 
     def _take_grant(self, message: slot_messages.SlotGranted) -> None:
-        self._routes.heard(message.sender)
+        self._routes.record_answer(message.sender)
         claim = self._claim_at(message)
         if claim is None or not self._knows_worker(message):
             self._mailbox.send(
@@ -174,19 +178,21 @@
             claim.granted.set(message.worker)
 
     def _take_refusal(self, message: slot_messages.SlotRefused) -> None:
-        self._routes.heard(message.sender)
+        self._routes.record_answer(message.sender)
         claim = self._claim_at(message)
         if claim is not None and not claim.granted.ready():
-            self._waits.note(message.pool, claim.request.rank, message.wait_ms)
+            self._waits.record(
+                message.pool, claim.request.rank, message.wait_ms
+            )
             claim.granted.set_exception(
-                backlogs.overloaded(claim.pool, message.wait_ms)
+                backlogs.overloaded_error(claim.pool, message.wait_ms)
             )
 
     def _take_comparison(self, message: slot_messages.SlotsSeen) -> None:
-        self._routes.heard(message.sender)
+        self._routes.record_answer(message.sender)
         current = self._routes.find(message.pool) == message.sender
         for rank, wait_ms in enumerate(message.waits_ms if current else ()):
-            self._waits.note(message.pool, rank, wait_ms)
+            self._waits.record(message.pool, rank, wait_ms)
         if not message.matches:
             listing = slot_messages.SlotsListed(self._mailbox.own, message.pool)
             if current:
--- a/src/carobfork/coordination/limits.py
+++ b/src/carobfork/coordination/slot_limiters.py
@@ -10,13 +10,13 @@
 
 import attrs
 
-INITIAL_SLOTS = 4
-MIN_SLOTS = 1
-MAX_SLOTS = 256
+INITIAL_SLOT_LIMIT = 4
+MIN_SLOT_LIMIT = 1
+MAX_SLOT_LIMIT = 256
 
 
 @attrs.frozen
-class Served:
+class CallReport:
     """What a holder saw of one call, reported when it releases the slot.
 
     Times are 0 where the call ended before they were known.
@@ -42,20 +42,20 @@
 
     limit: int
 
-    def observe(self, served: Served, busy: int) -> None:
+    def observe(self, report: CallReport, busy: int) -> None:
         """Learn from a call that ended while ``busy`` slots were held."""
 
 
-LimitPolicy = Callable[[float], SlotLimiter]
-LIMITS: dict[str, LimitPolicy] = {}  # noqa: WPS407
+LimiterFactory = Callable[[float], SlotLimiter]
+LIMITERS: dict[str, LimiterFactory] = {}  # noqa: WPS407
 
 
-def register(name: str) -> Callable[[LimitPolicy], LimitPolicy]:
+def register(name: str) -> Callable[[LimiterFactory], LimiterFactory]:
     """Register a limiter under a name; it takes the target in ms."""
 
-    def decorator(policy: LimitPolicy) -> LimitPolicy:  # noqa: WPS430
-        LIMITS[name] = policy
-        return policy
+    def decorator(factory: LimiterFactory) -> LimiterFactory:  # noqa: WPS430
+        LIMITERS[name] = factory
+        return factory
 
     return decorator
 
@@ -69,9 +69,9 @@
 
     def __init__(self, target_ms: float) -> None:
         """Start with the limit that stays."""
-        self.limit = INITIAL_SLOTS
+        self.limit = INITIAL_SLOT_LIMIT
 
-    def observe(self, served: Served, busy: int) -> None:
+    def observe(self, report: CallReport, busy: int) -> None:
         """Learn nothing."""
 
 
@@ -86,36 +86,38 @@
     :param target_ms: longest time between tokens.
     """
 
-    decrease = 0.8
-    increase = 1.5
-    target_part = 0.9
+    decrease_ratio = 0.8
+    increase_ratio = 1.5
+    target_ratio = 0.9
     """What the mean of a round may reach, so that the tail meets the target."""
-    headroom_part = 0.5
+    headroom_ratio = 0.5
 
     def __init__(self, target_ms: float) -> None:
         """Start with the initial limit."""
-        self.limit = INITIAL_SLOTS
+        self.limit = INITIAL_SLOT_LIMIT
         self._target_ms = target_ms
         self._round = _Round()
 
-    def observe(self, served: Served, busy: int) -> None:
+    def observe(self, report: CallReport, busy: int) -> None:
         """Learn from a call that ended while ``busy`` slots were held."""
-        if not served.between_tokens_ms:
+        if not report.between_tokens_ms:
             return
-        self._round.add(served, busy)
+        self._round.add(report, busy)
         if self._round.samples >= self.limit:
             self._adjust(self._round)
             self._round = _Round()
 
     def _adjust(self, seen: '_Round') -> None:
         reached = seen.between_tokens_ms / self._target_ms
-        if reached > self.target_part:
-            self.limit = max(MIN_SLOTS, int(self.limit * self.decrease))
+        if reached > self.target_ratio:
+            self.limit = max(
+                MIN_SLOT_LIMIT, int(self.limit * self.decrease_ratio)
+            )
         elif seen.most_busy >= self.limit:
             more = self.limit + 1
-            if reached < self.headroom_part:
-                more = int(self.limit * self.increase)
-            self.limit = min(MAX_SLOTS, more)
+            if reached < self.headroom_ratio:
+                more = int(self.limit * self.increase_ratio)
+            self.limit = min(MAX_SLOT_LIMIT, more)
 
 
 @register('gradient')
@@ -129,21 +131,21 @@
     :param target_ms: not used.
     """
 
-    step = 0.1
-    least_gain = 0.25
+    step_ratio = 0.1
+    min_gain_ratio = 0.25
 
     def __init__(self, target_ms: float) -> None:
         """Start with the initial limit."""
-        self.limit = INITIAL_SLOTS
+        self.limit = INITIAL_SLOT_LIMIT
         self._round = _Round()
         self._last_limit = 0
         self._last_throughput = 0
 
-    def observe(self, served: Served, busy: int) -> None:
+    def observe(self, report: CallReport, busy: int) -> None:
         """Learn from a call that ended while ``busy`` slots were held."""
-        if not served.between_tokens_ms:
+        if not report.between_tokens_ms:
             return
-        self._round.add(served, busy)
+        self._round.add(report, busy)
         if self._round.samples >= self.limit:
             if self._round.most_busy >= self.limit:
                 self._adjust(self._round.throughput)
@@ -152,15 +154,15 @@
     def _adjust(self, throughput: float) -> None:
         grown = (self.limit - self._last_limit) / self.limit
         gained = (throughput - self._last_throughput) / throughput
-        step = max(1, int(self.limit * self.step))
-        if gained < grown * self.least_gain or not grown:
+        step = max(1, int(self.limit * self.step_ratio))
+        if gained < grown * self.min_gain_ratio or not grown:
             step = -step
         # Going down, few tokens lost for many slots cut confirm the way.
         if grown < 0:
             step = -step
         self._last_limit = self.limit
         self._last_throughput = throughput
-        self.limit = max(MIN_SLOTS, min(MAX_SLOTS, self.limit + step))
+        self.limit = max(MIN_SLOT_LIMIT, min(MAX_SLOT_LIMIT, self.limit + step))
 
 
 @attrs.define
@@ -172,9 +174,9 @@
     total_busy: int = 0
     most_busy: int = 0
 
-    def add(self, served: Served, busy: int) -> None:
+    def add(self, report: CallReport, busy: int) -> None:
         self.samples += 1
-        self.total_ms += served.between_tokens_ms
+        self.total_ms += report.between_tokens_ms
         self.total_busy += busy
         self.most_busy = max(self.most_busy, busy)
 
--- a/src/carobfork/coordination/slot_messages.py
+++ b/src/carobfork/coordination/slot_messages.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from carobfork.coordination import limits, messages, orders
+from carobfork.coordination import messages, queue_orders, slot_limiters
 from carobfork.state import identifiers
 
 _COUNT_SHIFT = 32
@@ -22,7 +22,7 @@
 
     sender: identifiers.Incarnation
     pool: str
-    requests: tuple[orders.SlotRequest, ...]
+    requests: tuple[queue_orders.SlotRequest, ...]
 
 
 @messages.register
@@ -55,7 +55,7 @@
     sender: identifiers.Incarnation
     pool: str
     identifier: str
-    served: limits.Served | None = None
+    served: slot_limiters.CallReport | None = None
 
 
 @messages.register
@@ -84,7 +84,7 @@
 class Holding:
     """A call with its slot."""
 
-    request: orders.SlotRequest
+    request: queue_orders.SlotRequest
     worker: str
 
 
@@ -95,11 +95,11 @@
 
     sender: identifiers.Incarnation
     pool: str
-    waiting: tuple[orders.SlotRequest, ...] = ()
+    waiting: tuple[queue_orders.SlotRequest, ...] = ()
     held: tuple[Holding, ...] = ()
 
 
-def digest(call_ids: Iterable[str]) -> int:
+def calls_digest(call_ids: Iterable[str]) -> int:
     """Return a number that stands for a set of calls, in any order."""
     mixed = 0
     count = 0
--- a/src/carobfork/coordination/slots.py
+++ b/src/carobfork/coordination/slots.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from carobfork import clock
-from carobfork.coordination import limits, orders
+from carobfork.coordination import queue_orders, slot_limiters
 
 
 class Slot:
@@ -24,12 +24,12 @@
         self._output_tokens = 0
         self._prefilled_tokens = 0
 
-    def touch(self) -> None:
+    def record_output(self) -> None:
         """Note that events of the stream came."""
         self._last_ms = self._timer.now_ms()
         self._first_ms = self._first_ms or self._last_ms
 
-    def settle(self, output_tokens: int, prefilled_tokens: int) -> None:
+    def record_usage(self, output_tokens: int, prefilled_tokens: int) -> None:
         """Note what the engine computed.
 
         :param prefilled_tokens: prompt tokens that were not cached.
@@ -37,14 +37,14 @@
         self._output_tokens = output_tokens
         self._prefilled_tokens = prefilled_tokens
 
-    def served(self) -> limits.Served:
+    def report(self) -> slot_limiters.CallReport:
         """Return what to report on release."""
         steps = self._output_tokens - 1
         between_ms = (
             (self._last_ms - self._first_ms) / steps if steps > 0 else 0
         )
         first_ms = self._first_ms - self._granted_ms if self._first_ms else 0
-        return limits.Served(
+        return slot_limiters.CallReport(
             held_ms=self._timer.now_ms() - self._granted_ms,
             first_token_ms=first_ms,
             between_tokens_ms=between_ms,
@@ -57,14 +57,14 @@
     """Where calls get their slots from."""
 
     def acquire(
-        self, request: orders.SlotRequest
+        self, request: queue_orders.SlotRequest
     ) -> contextlib.AbstractContextManager[Slot]:
         """Wait for a slot and hold it.
 
         :raises OverloadedError: no slot can be had in time.
         """
 
-    def check_door(self, rank: int, queue_limit_ms: int) -> None:
+    def check_new_program(self, rank: int, queue_limit_ms: int) -> None:
         """Check that a new program of a rank may be opened.
 
         :raises OverloadedError: its first call would be refused.
--- a/src/carobfork/coordination/takeovers.py
+++ b/src/carobfork/coordination/takeovers.py
@@ -209,7 +209,7 @@
         """Put all programs into the table at once, so none is seen in part."""
         table = programs.ProgramTable()
         for position, record in enumerate(estate.records):
-            table.replay(record)
+            table.apply_if_known(record)
             if position % REPLAY_BATCH == 0:
                 gevent.sleep(0)
         if self._home.journal.sealed or own != self._home.journal.incarnation:
--- a/src/carobfork/coordination/worker_tables.py
+++ b/src/carobfork/coordination/worker_tables.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Mapping
 
 from carobfork import clock
-from carobfork.coordination import limits, placements, pools
+from carobfork.coordination import placements, pools, slot_limiters
 from carobfork.state import bundles
 
 
@@ -21,7 +21,7 @@
         self._policy: bundles.Policy | None = None
 
     @property
-    def slot_ms(self) -> float:
+    def slot_interval_ms(self) -> float:
         """Mean time between two slots that come free, 0 where unknown."""
         loads = [load for load in self.loads.values() if not load.leaving]
         slots = sum(load.slot_limit for load in loads)
@@ -30,10 +30,12 @@
             return 0
         return sum(holds_ms) / len(holds_ms) / slots
 
-    def free(self) -> list[placements.WorkerLoad]:
+    def available(self) -> list[placements.WorkerLoad]:
         """Return the workers with free slots."""
         now_ms = self._timer.now_ms()
-        return [load for load in self.loads.values() if load.is_free(now_ms)]
+        return [
+            load for load in self.loads.values() if load.is_available(now_ms)
+        ]
 
     def apply(
         self,
@@ -51,7 +53,7 @@
         for worker in pool.workers:
             load = known.get(worker.name) or self._new_load(worker.name)
             load.busy = busy.get(worker.name, 0)
-            load.awaited = 0
+            load.deferred_calls = 0
             self.loads[worker.name] = load
         self.mark_leaving(self._leaving)
 
@@ -61,7 +63,7 @@
         for load in self.loads.values():
             load.leaving = load.name in self._leaving
 
-    def adopt(self, name: str) -> None:
+    def adopt_slot(self, name: str) -> None:
         """Count a slot that another dispatcher had granted."""
         load = self.loads.get(name)
         if load is not None:
@@ -72,13 +74,15 @@
         load = self.loads.get(name)
         return 0 if load is None else load.busy
 
-    def release(self, name: str, served: limits.Served | None) -> None:
+    def release(
+        self, name: str, report: slot_limiters.CallReport | None
+    ) -> None:
         """Free a slot and learn from it."""
         load = self.loads.get(name)
         if load is None:
             return
-        if served is not None:
-            load.observe(served, self._timer.now_ms())
+        if report is not None:
+            load.observe(report, self._timer.now_ms())
         load.busy -= 1
 
     def _keeps_limits(self, policy: bundles.Policy) -> bool:
@@ -89,7 +93,7 @@
         )
 
     def _new_load(self, name: str) -> placements.WorkerLoad:
-        limiter = limits.LIMITS[self._policy.limit]
+        limiter = slot_limiters.LIMITERS[self._policy.limit]
         return placements.WorkerLoad(
             name, limiter(self._policy.between_tokens_target_ms)
         )
--- a/src/carobfork/inspections/noted_calls.py
+++ b/src/carobfork/inspections/noted_calls.py
@@ -7,8 +7,8 @@
 from carobfork.coordination import (
     call_notes,
     decisions,
-    orders,
     ports,
+    queue_orders,
     slots,
 )
 from carobfork.state import bundles, programs
@@ -37,12 +37,14 @@
         self._broker = broker
         self._log = log
 
-    def check_door(self, rank: int, queue_limit_ms: int) -> None:
+    def check_new_program(self, rank: int, queue_limit_ms: int) -> None:
         """Check that a new program of a rank may be opened."""
-        self._broker.check_door(rank, queue_limit_ms)
+        self._broker.check_new_program(rank, queue_limit_ms)
 
     @contextlib.contextmanager
-    def acquire(self, request: orders.SlotRequest) -> Iterator[slots.Slot]:
+    def acquire(
+        self, request: queue_orders.SlotRequest
+    ) -> Iterator[slots.Slot]:
         """Wait for a slot and hold it."""
         logs.bind(attempt=request.identifier)
         program = request.program
--- a/src/carobfork/recording.py
+++ b/src/carobfork/recording.py
@@ -50,7 +50,7 @@
     ) -> journals.Journal:
         """Return the journal of an incarnation, which commits from now on."""
         journal = journals.Journal(
-            self._store, self._codec, incarnation, self._table.replay
+            self._store, self._codec, incarnation, self._table.apply_if_known
         )
         self._start(journal.run)
         return journal
--- a/src/carobfork/state/budgets.py
+++ b/src/carobfork/state/budgets.py
@@ -13,17 +13,17 @@
 _STEP = 'reserve'
 
 
-def call_reservation(key: str) -> str:
+def call_reservation_id(key: str) -> str:
     """Return the identifier of a service call's reservation."""
     return f'call\n{key}'
 
 
-def attempt_reservation(key: str, attempt: int) -> str:
+def attempt_reservation_id(key: str, attempt: int) -> str:
     """Return the identifier of a model call's reservation."""
     return f'attempt\n{attempt}\n{key}'
 
 
-def share_reservation(program: str) -> str:
+def share_reservation_id(program: str) -> str:
     """Return the identifier of a sub-agent's share."""
     return f'program\n{program}'
 
--- a/src/carobfork/state/bundles.py
+++ b/src/carobfork/state/bundles.py
@@ -9,20 +9,20 @@
 import attrs
 
 from carobfork import exceptions
-from carobfork.state import limits
+from carobfork.state import validators
 
 DEFAULT_QUEUE_LIMIT_MS = 4000
 DEFAULT_TIMEOUT_MS = 10_000
 
-IDLE_LIMIT_MS = 1_800_000
+DEFAULT_IDLE_LIMIT_MS = 1_800_000
 
 
 @attrs.frozen
 class Address:
     """An IP number and a TCP port."""
 
-    ip: str = attrs.field(validator=limits.ip_number)
-    port: int = attrs.field(validator=limits.port)
+    ip: str = attrs.field(validator=validators.ip_address)
+    port: int = attrs.field(validator=validators.port)
 
     def __str__(self) -> str:
         """Return ``ip:port``."""
@@ -33,15 +33,15 @@
 class Rank:
     """A class of service; ranks are listed most urgent first."""
 
-    name: str = attrs.field(validator=limits.name)
-    share: float = attrs.field(validator=limits.between(0, 1))
+    name: str = attrs.field(validator=validators.name)
+    share: float = attrs.field(validator=validators.between(0, 1))
     """Part of the capacity kept for this rank under any flood, 0 to 1."""
     queue_limit_ms: int = attrs.field(
-        default=DEFAULT_QUEUE_LIMIT_MS, validator=limits.at_least(0)
+        default=DEFAULT_QUEUE_LIMIT_MS, validator=validators.at_least(0)
     )
     """Longest expected wait for a slot before calls are refused."""
     between_tokens_ms: int = attrs.field(
-        default=0, validator=limits.at_least(0)
+        default=0, validator=validators.at_least(0)
     )
     """Mean time between tokens to keep while calls of this rank run on an
     engine, by keeping its batch short; 0 where the rank does not ask."""
@@ -51,19 +51,19 @@
 class Budget:
     """Upper bounds for one program and all of its sub-agents."""
 
-    tokens: int = attrs.field(validator=limits.at_least(1))
-    calls: int = attrs.field(validator=limits.at_least(1))
-    time_ms: int = attrs.field(validator=limits.at_least(1))
+    tokens: int = attrs.field(validator=validators.at_least(1))
+    calls: int = attrs.field(validator=validators.at_least(1))
+    time_ms: int = attrs.field(validator=validators.at_least(1))
 
 
 @attrs.frozen
 class ProgramKind:
     """A kind of program that callers may open."""
 
-    name: str = attrs.field(validator=limits.name)
+    name: str = attrs.field(validator=validators.name)
     rank: str
     budget: Budget
-    idle_limit_ms: int = IDLE_LIMIT_MS
+    idle_limit_ms: int = DEFAULT_IDLE_LIMIT_MS
     """Longest silence of a program's caller before the program is ended."""
 
 
@@ -71,7 +71,7 @@
 class Worker:
     """One model engine."""
 
-    name: str = attrs.field(validator=limits.name)
+    name: str = attrs.field(validator=validators.name)
     address: Address
     fencing: bool = True
     """Whether the engine refuses orders with an old fencing number."""
@@ -81,7 +81,7 @@
 class Model:
     """A model and the engines that serve it."""
 
-    name: str = attrs.field(validator=limits.name)
+    name: str = attrs.field(validator=validators.name)
     workers: tuple[Worker, ...]
 
 
@@ -89,12 +89,12 @@
 class Operation:
     """One kind of call to a plain service."""
 
-    name: str = attrs.field(validator=limits.name)
+    name: str = attrs.field(validator=validators.name)
     method: str
     path: str
     repeatable: bool = False
     timeout_ms: int = attrs.field(
-        default=DEFAULT_TIMEOUT_MS, validator=limits.at_least(1)
+        default=DEFAULT_TIMEOUT_MS, validator=validators.at_least(1)
     )
 
 
@@ -102,7 +102,7 @@
 class Server:
     """One host of a plain service."""
 
-    name: str = attrs.field(validator=limits.name)
+    name: str = attrs.field(validator=validators.name)
     address: Address
 
 
@@ -110,7 +110,7 @@
 class Service:
     """A plain service, its hosts and its operations."""
 
-    name: str = attrs.field(validator=limits.name)
+    name: str = attrs.field(validator=validators.name)
     servers: tuple[Server, ...]
     operations: tuple[Operation, ...]
 
@@ -131,8 +131,8 @@
 class Bundle:
     """Everything that operators sign off and roll as one unit."""
 
-    version: int = attrs.field(validator=limits.at_least(1))
-    ranks: tuple[Rank, ...] = attrs.field(validator=limits.filled)
+    version: int = attrs.field(validator=validators.at_least(1))
+    ranks: tuple[Rank, ...] = attrs.field(validator=validators.not_empty)
     programs: tuple[ProgramKind, ...]
     models: tuple[Model, ...]
     services: tuple[Service, ...]
--- a/src/carobfork/state/programs.py
+++ b/src/carobfork/state/programs.py
@@ -8,8 +8,8 @@
 from carobfork import exceptions
 from carobfork.state import budgets, identifiers, records, spending
 
-OUT_OF_TIME = 'its time budget is spent'
-IDLE = 'its caller stayed away'
+TIME_SPENT_REASON = 'its time budget is spent'
+IDLE_REASON = 'its caller stayed away'
 
 
 class CallPhase(enum.StrEnum):
@@ -62,7 +62,7 @@
 
     def is_dispatched(self, record: spending.CallDispatched) -> bool:
         """Tell whether an attempt is the last one at its call, or reserves."""
-        if record.reservation in self.ledger.reservations:
+        if record.reservation_id in self.ledger.reservations:
             return True
         return self.dispatched.get(record.key) == record
 
@@ -90,15 +90,17 @@
             )
         return self.programs[identifier]
 
-    def tree(self, identifier: str) -> list[Program]:
+    def subtree(self, identifier: str) -> list[Program]:
         """Return a program and all of its sub-agents, leaves first."""
         root = self.find(identifier)
         below = [
-            program for child in root.children for program in self.tree(child)
+            program
+            for child in root.children
+            for program in self.subtree(child)
         ]
         return [*below, root]
 
-    def replay(self, record: records.Record) -> None:
+    def apply_if_known(self, record: records.Record) -> None:
         """Apply a record unless its program was forgotten meanwhile."""
         name = getattr(record, 'program', '')
         opens = isinstance(record, records.ProgramOpened)
@@ -136,14 +138,15 @@
                 record.budget.tokens, record.budget.calls
             )
             parent.children.append(record.program)
-            identifier = budgets.share_reservation(record.program)
+            identifier = budgets.share_reservation_id(record.program)
             parent.ledger.restore(identifier, share)
 
     @apply.register
     def _intended(self, record: records.IntentRecorded) -> None:
         program = self.find(record.program)
         program.ledger.restore(
-            budgets.call_reservation(record.key), budgets.Reservation(tokens=0)
+            budgets.call_reservation_id(record.key),
+            budgets.Reservation(tokens=0),
         )
         program.calls[record.key] = Call(
             key=record.key,
@@ -155,10 +158,10 @@
     @apply.register
     def _answered(self, record: records.AnswerRecorded) -> None:
         program = self.find(record.program)
-        identifier = budgets.call_reservation(record.key)
+        identifier = budgets.call_reservation_id(record.key)
         dispatched = program.dispatched.pop(record.key, None)
         if dispatched is not None:
-            identifier = dispatched.reservation
+            identifier = dispatched.reservation_id
         program.ledger.settle(identifier, record.tokens)
         program.calls[record.key] = Call(
             key=record.key,
@@ -172,13 +175,13 @@
     def _withdrawn(self, record: records.IntentWithdrawn) -> None:
         program = self.find(record.program)
         program.calls.pop(record.key, None)
-        program.ledger.release(budgets.call_reservation(record.key))
+        program.ledger.release(budgets.call_reservation_id(record.key))
 
     @apply.register
     def _dispatched(self, record: spending.CallDispatched) -> None:
         program = self.find(record.program)
         program.ledger.restore(
-            record.reservation, budgets.Reservation(record.reserved_tokens)
+            record.reservation_id, budgets.Reservation(record.reserved_tokens)
         )
         program.dispatched[record.key] = record
         program.workers.add(record.target)
@@ -186,7 +189,7 @@
     @apply.register
     def _failed(self, record: spending.AttemptFailed) -> None:
         ledger = self.find(record.program).ledger
-        ledger.settle(record.reservation, record.tokens, calls=0)
+        ledger.settle(record.reservation_id, record.tokens, calls=0)
 
     @apply.register
     def _aged(self, record: spending.TimeSpent) -> None:
@@ -208,7 +211,7 @@
             # What the sub-agent may still spend was reserved from its share.
             ledger = program.ledger
             parent.ledger.settle(
-                budgets.share_reservation(program.identifier),
+                budgets.share_reservation_id(program.identifier),
                 ledger.spent_tokens + ledger.reserved_tokens,
                 ledger.spent_calls + ledger.reserved_calls,
             )
--- a/src/carobfork/state/records.py
+++ b/src/carobfork/state/records.py
@@ -108,7 +108,7 @@
     """The owner found its journal still open."""
 
 
-FRAMES = (SegmentStarted, Compacted, OwnershipChecked, Sealed)
+JOURNAL_RECORDS = (SegmentStarted, Compacted, OwnershipChecked, Sealed)
 """Records that concern the journal alone and no program."""
 
 Record = (
--- a/src/carobfork/state/spending.py
+++ b/src/carobfork/state/spending.py
@@ -25,9 +25,9 @@
         return self.target.rpartition('/')[-1]
 
     @property
-    def reservation(self) -> str:
+    def reservation_id(self) -> str:
         """The identifier of the attempt's reservation."""
-        return budgets.attempt_reservation(self.key, self.attempt)
+        return budgets.attempt_reservation_id(self.key, self.attempt)
 
 
 @attrs.frozen
@@ -40,9 +40,9 @@
     tokens: int
 
     @property
-    def reservation(self) -> str:
+    def reservation_id(self) -> str:
         """The identifier of the attempt's reservation."""
-        return budgets.attempt_reservation(self.key, self.attempt)
+        return budgets.attempt_reservation_id(self.key, self.attempt)
 
 
 @attrs.frozen
--- a/src/carobfork/state/limits.py
+++ b/src/carobfork/state/validators.py
@@ -54,7 +54,7 @@
         _refuse(field, number, f'a port from 1 to {MAX_PORT}')
 
 
-def ip_number(_owner, field: attrs.Attribute, text) -> None:
+def ip_address(_owner, field: attrs.Attribute, text) -> None:
     """Accept IP numbers, no host names."""
     try:
         ipaddress.ip_address(text)
@@ -68,7 +68,7 @@
         _refuse(field, text, 'letters, digits, "_", "-" and blanks, at most 63')
 
 
-def filled(_owner, field: attrs.Attribute, members) -> None:
+def not_empty(_owner, field: attrs.Attribute, members) -> None:
     """Accept texts and lists that are not empty."""
     if not members:
         _refuse(field, members, 'not empty')
--- a/src/carobfork/transport/readers.py
+++ b/src/carobfork/transport/readers.py
@@ -15,7 +15,7 @@
 
 from carobfork import clock, exceptions
 from carobfork.protocol import responses
-from carobfork.state import bundles, limits
+from carobfork.state import bundles, validators
 
 CONNECTIONS = 400
 BODY_BYTES = 2_000_000
@@ -31,7 +31,7 @@
 
 
 def _limit(default: int):
-    return attrs.field(default=default, validator=limits.at_least(1))
+    return attrs.field(default=default, validator=validators.at_least(1))
 
 
 @attrs.frozen
--- a/src/carobfork_standins/layouts.py
+++ b/src/carobfork_standins/layouts.py
@@ -37,7 +37,7 @@
     budget_tokens: int = 200_000
     budget_calls: int = 200
     budget_time_ms: int = 600_000
-    idle_limit_ms: int = bundles.IDLE_LIMIT_MS
+    idle_limit_ms: int = bundles.DEFAULT_IDLE_LIMIT_MS
     network: str = attrs.Factory(
         lambda: (
             f'127.{1 + os.getpid() // _OCTET % _OCTET}.{os.getpid() % _OCTET}'
--- a/tests/recording_hosts.py
+++ b/tests/recording_hosts.py
@@ -36,7 +36,7 @@
 class OpenDoor:
     """Every program may be opened."""
 
-    def check_door(self, rank, queue_limit_ms):
+    def check_new_program(self, rank, queue_limit_ms):
         """Refuse none."""
 
 
@@ -96,7 +96,7 @@
             self.store,
             CODEC,
             incarnation,
-            self.table.replay,
+            self.table.apply_if_known,
         )
         self.greenlets.append(gevent.spawn(journal.run))
         return journal
--- a/tests/slot_hosts.py
+++ b/tests/slot_hosts.py
@@ -8,11 +8,11 @@
 from carobfork import clock
 from carobfork.coordination import (
     mailboxes,
-    orders,
-    peer_slots,
     pool_hosts,
     pool_routes,
+    queue_orders,
     routing,
+    slot_clients,
 )
 from carobfork.protocol import wire
 from carobfork.state import bundles, identifiers
@@ -53,7 +53,7 @@
 def make_request(identifier, rank=0, **fields):
     """Return a call's request for a slot."""
     defaults = {'program': identifier, 'model': MODEL, 'attained_tokens': 0}
-    return orders.SlotRequest(
+    return queue_orders.SlotRequest(
         identifier=identifier, rank=rank, **{**defaults, **fields}
     )
 
@@ -87,7 +87,7 @@
         """Let every host know of a death."""
         self.dead.add(victim.entry.incarnation)
         for host in self.hosts:
-            host.pool_host.forget_host(victim.entry)
+            host.pool_host.release_host(victim.entry)
             host.broker.reroute(victim.entry)
 
     def server(self):
@@ -124,7 +124,9 @@
         mailbox = mailboxes.Mailbox(self.find_own, network, self)
         self.routes = pool_routes.PoolRoutes(self.find_own, network)
         self.pool_host = pool_hosts.PoolHost(mailbox, network.timer)
-        self.broker = peer_slots.PeerSlots(mailbox, self.routes, network.timer)
+        self.broker = slot_clients.SlotClient(
+            mailbox, self.routes, network.timer
+        )
 
     def find_own(self):
         """Return this host's incarnation."""
@@ -188,7 +190,7 @@
 class HeldCall:
     """A call that waits for a slot or holds one."""
 
-    request: orders.SlotRequest
+    request: queue_orders.SlotRequest
     worker: str = ''
     error: Exception | None = None
     greenlet: gevent.Greenlet | None = None
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -105,6 +105,6 @@
 
     def test_keys_can_not_take_a_share_over(self):
         """A call key that looks like a sub-agent leaves the share alone."""
-        name = budgets.share_reservation(CHILD)
+        name = budgets.share_reservation_id(CHILD)
         self.apply(records.IntentRecorded(PARENT, name, '', 'orders'))
         self.assertEqual(self.parent.free_tokens, 600)
--- a/tests/test_dispatchers.py
+++ b/tests/test_dispatchers.py
@@ -3,13 +3,18 @@
 import unittest
 
 from carobfork import clock, exceptions
-from carobfork.coordination import dispatchers, limits, orders, pools
+from carobfork.coordination import (
+    dispatchers,
+    pools,
+    queue_orders,
+    slot_limiters,
+)
 from tests import slot_hosts
 
 CALLS = 400
 TOKENS = 100
 HOLD_MS = 1000
-SERVED = limits.Served(held_ms=HOLD_MS, output_tokens=TOKENS)
+SERVED = slot_limiters.CallReport(held_ms=HOLD_MS, output_tokens=TOKENS)
 
 
 class DispatcherTest(unittest.TestCase):
@@ -23,7 +28,7 @@
         """Start a dispatcher."""
         self.timer = clock.ManualClock()
         self.bundle = slot_hosts.make_bundle(limit='fixed', **policy)
-        pool = pools.split(self.bundle.models[0])[0]
+        pool = pools.split_model(self.bundle.models[0])[0]
         self.dispatcher = dispatchers.Dispatcher(pool, self.bundle, self.timer)
 
     def submit(self, name, rank=0, **fields):
@@ -83,7 +88,7 @@
                 tokens[rank] += served
                 self.dispatcher.release(
                     grant.request.identifier,
-                    limits.Served(held_ms=1, output_tokens=served),
+                    slot_limiters.CallReport(held_ms=1, output_tokens=served),
                 )
         self.assertAlmostEqual(tokens[1] / sum(tokens), 0.2, delta=0.05)
 
@@ -93,9 +98,9 @@
         self.flood(rank=1, count=20)
         grant = self.dispatcher.grant_next()
         self.dispatcher.release(
-            grant.request.identifier, limits.Served(output_tokens=10)
+            grant.request.identifier, slot_limiters.CallReport(output_tokens=10)
         )
-        owed = self.dispatcher.backlog.floor.deficits_tokens
+        owed = self.dispatcher.backlog.deficits.deficit_tokens
         self.assertEqual(grant.request.identifier, 'short')
         self.assertAlmostEqual(owed[1], 10 * 0.2)
 
@@ -109,7 +114,7 @@
     def test_ageing(self):
         """A call that has waited long enough passes fresh programs."""
         self.submit('much', attained_tokens=9000)
-        self.timer.advance(9000 / orders.AGEING_TOKENS_PER_MS + 1)
+        self.timer.advance(9000 / queue_orders.AGEING_TOKENS_PER_MS + 1)
         self.submit('fresh')
         grant = self.dispatcher.grant_next()
         self.assertEqual(grant.request.identifier, 'much')
@@ -145,9 +150,9 @@
         self.submit('old', rank=1, attained_tokens=10**6)
         for number in range(300):
             self.submit(f'new-{number}', rank=1, started=False)
-        self.assertEqual(self.dispatcher.shorten(), [])
+        self.assertEqual(self.dispatcher.shed_excess(), [])
         self.serve(rounds=1)
-        given_up = self.dispatcher.shorten()
+        given_up = self.dispatcher.shed_excess()
         self.assertGreater(len(given_up), 200)
         self.assertNotIn('old', {call.identifier for call in given_up})
 
@@ -156,7 +161,7 @@
         self.start(admission='all', placement='affinity_by_cost')
         self.submit('first', rank=1, last_worker='engine-0')
         self.serve(rounds=1)
-        for number in range(limits.INITIAL_SLOTS):
+        for number in range(slot_limiters.INITIAL_SLOT_LIMIT):
             self.submit(f'full-{number}', last_worker='engine-0')
             self.dispatcher.grant_next()
         self.submit('long', last_worker='engine-0', prompt_tokens=10_000)
@@ -169,7 +174,7 @@
     def test_wait_for_prefix_is_bounded(self):
         """Waiting lasts no longer than the prefill that it saves."""
         self.start(admission='all', placement='affinity_by_cost')
-        for number in range(limits.INITIAL_SLOTS):
+        for number in range(slot_limiters.INITIAL_SLOT_LIMIT):
             self.submit(f'full-{number}', last_worker='engine-0')
             self.dispatcher.grant_next()
         self.submit('long', last_worker='engine-0', prompt_tokens=10_000)
@@ -180,7 +185,7 @@
     def test_failing_worker_is_tried_rarely(self):
         """A worker that fails at once does not attract all calls."""
         self.flood(rank=0)
-        failed = limits.Served(failed=True)
+        failed = slot_limiters.CallReport(failed=True)
         workers = []
         for _ in range(40):
             grant = self.dispatcher.grant_next()
@@ -210,7 +215,9 @@
         self.timer.advance(1)
         self.submit('b', rank=0)
         bundle = slot_hosts.make_bundle(limit='fixed', order='fifo')
-        self.dispatcher.apply(pools.split(bundle.models[0])[0], bundle)
+        self.dispatcher.apply_bundle(
+            pools.split_model(bundle.models[0])[0], bundle
+        )
         grant = self.dispatcher.grant_next()
         self.assertEqual(grant.request.identifier, 'a')
 
@@ -220,11 +227,13 @@
 
     def settle(self, name, target_ms, step_ms):
         """Return the limit reached after many calls."""
-        limiter = limits.LIMITS[name](target_ms)
+        limiter = slot_limiters.LIMITERS[name](target_ms)
         for _ in range(3000):
             busy = limiter.limit
             between_ms = step_ms(busy)
-            limiter.observe(limits.Served(between_tokens_ms=between_ms), busy)
+            limiter.observe(
+                slot_limiters.CallReport(between_tokens_ms=between_ms), busy
+            )
         return limiter.limit
 
     def test_aimd_meets_target(self):
@@ -239,14 +248,16 @@
 
     def test_missing_reports(self):
         """Calls that report nothing change nothing."""
-        for name in limits.LIMITS:
-            limiter = limits.LIMITS[name](20)
-            limiter.observe(limits.Served(), 4)
-            self.assertEqual(limiter.limit, limits.INITIAL_SLOTS)
+        for name in slot_limiters.LIMITERS:
+            limiter = slot_limiters.LIMITERS[name](20)
+            limiter.observe(slot_limiters.CallReport(), 4)
+            self.assertEqual(limiter.limit, slot_limiters.INITIAL_SLOT_LIMIT)
 
     def test_idle_engine_keeps_limit(self):
         """Slots that are not used are no reason for more of them."""
-        limiter = limits.LIMITS['aimd'](20)
+        limiter = slot_limiters.LIMITERS['aimd'](20)
         for _ in range(100):
-            limiter.observe(limits.Served(between_tokens_ms=4), busy=1)
-        self.assertEqual(limiter.limit, limits.INITIAL_SLOTS)
+            limiter.observe(
+                slot_limiters.CallReport(between_tokens_ms=4), busy=1
+            )
+        self.assertEqual(limiter.limit, slot_limiters.INITIAL_SLOT_LIMIT)
--- a/tests/test_isolations.py
+++ b/tests/test_isolations.py
@@ -7,7 +7,12 @@
 import attrs
 
 from carobfork import clock
-from carobfork.coordination import dispatchers, limits, paces, pools
+from carobfork.coordination import (
+    dispatchers,
+    latency_models,
+    pools,
+    slot_limiters,
+)
 from tests import slot_hosts
 
 SLOTS = 20
@@ -16,7 +21,7 @@
 SHORT = 6
 
 
-class WideLimiter(limits.FixedLimiter):
+class WideLimiter(slot_limiters.FixedLimiter):
     """Grant many slots."""
 
     def __init__(self, target_ms):
@@ -31,7 +36,7 @@
     def setUp(self):
         """Start a dispatcher whose first rank asks for 12 ms."""
         self.timer = clock.ManualClock()
-        wide = mock.patch.dict(limits.LIMITS, {'wide': WideLimiter})
+        wide = mock.patch.dict(slot_limiters.LIMITERS, {'wide': WideLimiter})
         wide.start()
         self.addCleanup(wide.stop)
         self.start(TARGET_MS)
@@ -42,7 +47,7 @@
         urgent, *others = bundle.ranks
         asking = attrs.evolve(urgent, between_tokens_ms=between_tokens_ms)
         bundle = attrs.evolve(bundle, ranks=(asking, *others))
-        pool = pools.split(bundle.models[0])[0]
+        pool = pools.split_model(bundle.models[0])[0]
         self.dispatcher = dispatchers.Dispatcher(pool, bundle, self.timer)
         for number in range(SLOTS * 2):
             self.submit(f'learn-{number}', 1)
@@ -62,7 +67,7 @@
         busy = self.dispatcher.workers.busy(grant.worker)
         self.dispatcher.release(
             grant.request.identifier,
-            limits.Served(
+            slot_limiters.CallReport(
                 held_ms=100,
                 between_tokens_ms=STEP_MS + busy,
                 output_tokens=10,
@@ -136,19 +141,19 @@
 
     def test_line(self):
         """Slots are read off the line that reports lie on."""
-        pace = paces.Pace()
+        pace = latency_models.LatencyModel()
         for busy in (2, 10, 20):
             pace.observe(busy, STEP_MS + busy)
-        self.assertEqual(pace.slots_for(TARGET_MS), SHORT)
+        self.assertEqual(pace.max_slots(TARGET_MS), SHORT)
 
     def test_one_batch_size(self):
         """Without spread, time is taken as proportional to the slots."""
-        pace = paces.Pace()
+        pace = latency_models.LatencyModel()
         pace.observe(10, 20)
-        self.assertEqual(pace.slots_for(10), 5)
+        self.assertEqual(pace.max_slots(10), 5)
 
     def test_at_least_one(self):
         """A target below any batch's time still leaves one slot."""
-        pace = paces.Pace()
+        pace = latency_models.LatencyModel()
         pace.observe(10, 20)
-        self.assertEqual(pace.slots_for(1), 1)
+        self.assertEqual(pace.max_slots(1), 1)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -125,4 +125,4 @@
                 if watcher in rings.successors(fleet, host.incarnation.host)
             }
             self.assertEqual(watched, set(rings.predecessors(fleet, name)))
-            self.assertEqual(rings.SUCCESSORS, len(watched))
+            self.assertEqual(rings.SUCCESSOR_COUNT, len(watched))
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -5,10 +5,10 @@
 import gevent
 
 from carobfork import exceptions
-from carobfork.coordination import limits, slot_messages
+from carobfork.coordination import slot_limiters, slot_messages
 from tests import slot_hosts
 
-SLOTS = 2 * limits.INITIAL_SLOTS
+SLOTS = 2 * slot_limiters.INITIAL_SLOT_LIMIT
 
 
 class SlotsTest(unittest.TestCase):
@@ -86,8 +86,8 @@
         crossing = slot_messages.SlotsOpen(
             holder.entry.incarnation,
             slot_hosts.POOL,
-            slot_messages.digest(['a']),
-            slot_messages.digest([]),
+            slot_messages.calls_digest(['a']),
+            slot_messages.calls_digest([]),
         )
         self.network.sent.clear()
         holder.send(server.peer_address, crossing)
@@ -217,7 +217,7 @@
     def test_door(self):
         """New programs are refused at the door once a pool says so."""
         holder = self.network.others()[0]
-        holder.broker.check_door(1, queue_limit_ms=4000)
+        holder.broker.check_new_program(1, queue_limit_ms=4000)
         server = self.network.server()
         holder.handlers[slot_messages.SlotsSeen](
             slot_messages.SlotsSeen(
@@ -227,11 +227,11 @@
                 waits_ms=(0, 3000),
             )
         )
-        holder.broker.check_door(0, queue_limit_ms=4000)
+        holder.broker.check_new_program(0, queue_limit_ms=4000)
         with self.assertRaises(exceptions.OverloadedError):
-            holder.broker.check_door(1, queue_limit_ms=4000)
+            holder.broker.check_new_program(1, queue_limit_ms=4000)
         self.network.timer.advance(5000)
-        holder.broker.check_door(1, queue_limit_ms=4000)
+        holder.broker.check_new_program(1, queue_limit_ms=4000)
 
     def test_call_taken_over(self):
         """A call that another host took over outlives its former holder."""
@@ -278,8 +278,10 @@
             host.pool_host.mark_leaving(['engine-0'])
         full = self.fill(self.network.hosts[0])
         workers = [call.worker for call in full]
-        self.assertEqual(workers.count('engine-1'), limits.INITIAL_SLOTS)
-        self.assertEqual(workers.count(''), limits.INITIAL_SLOTS)
+        self.assertEqual(
+            workers.count('engine-1'), slot_limiters.INITIAL_SLOT_LIMIT
+        )
+        self.assertEqual(workers.count(''), slot_limiters.INITIAL_SLOT_LIMIT)
         for host in self.network.hosts:
             host.pool_host.mark_leaving([])
         gevent.sleep(0)
