--- a/src/carobfork/coordination/admissions.py
+++ b/src/carobfork/coordination/admissions.py
@@ -60,11 +60,11 @@
     A kind with less than its part of the queue is refused later, so that a
     flood of one kind leaves room for the others.
     """
-    part = (
+    limit_ratio = (
         STARTED_PROGRAM_LIMIT_RATIO
         if arrival.started
         else NEW_PROGRAM_LIMIT_RATIO
     )
     if arrival.kind_ratio * arrival.kind_count < 1:
-        part *= RARE_KIND_LIMIT_RATIO
-    return arrival.expected_wait_ms <= arrival.queue_limit_ms * part
+        limit_ratio *= RARE_KIND_LIMIT_RATIO
+    return arrival.expected_wait_ms <= arrival.queue_limit_ms * limit_ratio
--- a/src/carobfork/coordination/backlogs.py
+++ b/src/carobfork/coordination/backlogs.py
@@ -32,7 +32,7 @@
         self._by_rank = order.by_rank
         self._admit = admissions.ADMISSIONS[bundle.policy.admission]
         self._queues = [queues.RankQueue(order) for _ in bundle.ranks]
-        self._kinds: list[dict[str, int]] = [{} for _ in bundle.ranks]
+        self._kind_counts: list[dict[str, int]] = [{} for _ in bundle.ranks]
 
     def __len__(self) -> int:
         """Return how many calls wait."""
@@ -63,7 +63,7 @@
         """Add a call."""
         rank = self.rank_of(request)
         self._queues[rank].push(request)
-        kinds = self._kinds[rank]
+        kinds = self._kind_counts[rank]
         kinds[request.kind] = kinds.get(request.kind, 0) + 1
 
     def remove(self, identifier: str) -> queue_orders.SlotRequest | None:
@@ -71,7 +71,7 @@
         for queue in self._queues:
             request = queue.remove(identifier)
             if request is not None:
-                self._forget_kind(request)
+                self._uncount_kind(request)
                 return request
         return None
 
@@ -79,7 +79,7 @@
         """Take out a rank's next call, if there is one."""
         request = self._queues[rank].pop()
         if request is not None:
-            self._forget_kind(request)
+            self._uncount_kind(request)
         return request
 
     def rank_of(self, request: queue_orders.SlotRequest) -> int:
@@ -96,7 +96,11 @@
 
         :param slot_ms: mean time between two slots that come free.
         """
-        return len(self._queues[rank]) * slot_interval_ms / self._part(rank)
+        return (
+            len(self._queues[rank])
+            * slot_interval_ms
+            / self._capacity_ratio(rank)
+        )
 
     def check_admission(
         self, request: queue_orders.SlotRequest, slot_interval_ms: float
@@ -108,7 +112,7 @@
         rank = self.rank_of(request)
         wait_ms = self.expected_wait_ms(rank, slot_interval_ms)
         if len(self) >= MAX_QUEUED_CALLS or not self._admit(
-            self._arrival(request, wait_ms)
+            self._describe_arrival(request, wait_ms)
         ):
             raise overloaded_error(request.model, wait_ms)
 
@@ -116,43 +120,46 @@
         """Return the waiting calls beyond what the ranks' limits allow."""
         if self._admit is admissions.admit_all or not slot_interval_ms:
             return []
-        beyond = []
+        excess = []
         for rank, queue in enumerate(self._queues):
             limit_ms = self._ranks[rank].queue_limit_ms
             limit_ms *= admissions.STARTED_PROGRAM_LIMIT_RATIO
-            kept = int(limit_ms * self._part(rank) / slot_interval_ms) + 1
-            if len(queue) > kept:
-                beyond.extend(queue.shed_candidates(len(queue) - kept))
-        return beyond
-
-    def _part(self, rank: int) -> float:
+            max_waiting = (
+                int(limit_ms * self._capacity_ratio(rank) / slot_interval_ms)
+                + 1
+            )
+            if len(queue) > max_waiting:
+                excess.extend(queue.shed_candidates(len(queue) - max_waiting))
+        return excess
+
+    def _capacity_ratio(self, rank: int) -> float:
         """Return the part of the free slots that a rank can count on."""
-        part = 1 - sum(
+        ratio = 1 - sum(
             self._ranks[lower].share
             for lower in self.waiting_ranks()
             if lower > rank
         )
         if any(higher < rank for higher in self.waiting_ranks()):
-            part = min(part, self._ranks[rank].share)
-        return max(part, MIN_CAPACITY_RATIO)
+            ratio = min(ratio, self._ranks[rank].share)
+        return max(ratio, MIN_CAPACITY_RATIO)
 
-    def _arrival(
+    def _describe_arrival(
         self, request: queue_orders.SlotRequest, wait_ms: float
     ) -> admissions.Arrival:
         rank = self.rank_of(request)
-        kinds = self._kinds[rank]
-        others = sum(1 for kind in kinds if kind != request.kind)
-        same = kinds.get(request.kind, 0)
+        kinds = self._kind_counts[rank]
+        other_kinds = sum(1 for kind in kinds if kind != request.kind)
+        same_kind = kinds.get(request.kind, 0)
         return admissions.Arrival(
             expected_wait_ms=wait_ms,
             queue_limit_ms=self._ranks[rank].queue_limit_ms,
             started=request.started,
-            kind_ratio=same / max(len(self._queues[rank]), 1),
-            kind_count=others + 1,
+            kind_ratio=same_kind / max(len(self._queues[rank]), 1),
+            kind_count=other_kinds + 1,
         )
 
-    def _forget_kind(self, request: queue_orders.SlotRequest) -> None:
-        kinds = self._kinds[self.rank_of(request)]
+    def _uncount_kind(self, request: queue_orders.SlotRequest) -> None:
+        kinds = self._kind_counts[self.rank_of(request)]
         kinds[request.kind] -= 1
         if not kinds[request.kind]:
             kinds.pop(request.kind)
--- a/src/carobfork/coordination/dispatchers.py
+++ b/src/carobfork/coordination/dispatchers.py
@@ -83,19 +83,19 @@
         """
         if not self.has_call(request.identifier):
             self.backlog.check_admission(request, self.workers.slot_interval_ms)
-            self._queue(request)
+            self._enqueue(request)
 
     def enqueue_admitted(self, request: queue_orders.SlotRequest) -> None:
         """Queue a call that another dispatcher had admitted."""
         if not self.has_call(request.identifier):
-            self._queue(request)
+            self._enqueue(request)
 
     def adopt_grant(
         self, request: queue_orders.SlotRequest, worker: str
     ) -> None:
         """Note a slot that another dispatcher had granted."""
         if request.identifier not in self.granted:
-            self._forget(request.identifier)
+            self._dequeue(request.identifier)
             self.granted[request.identifier] = Grant(request, worker)
             self.workers.adopt_slot(worker)
             self._isolation.record_grant(self.backlog.rank_of(request), worker)
@@ -111,17 +111,17 @@
 
         :param served: what its holder saw, if it was served.
         """
-        self._forget(identifier)
+        self._dequeue(identifier)
         grant = self.granted.pop(identifier, None)
         if grant is None:
             return
-        seen = report or slot_limiters.CallReport()
+        measured = report or slot_limiters.CallReport()
         rank = self.backlog.rank_of(grant.request)
         busy = self.workers.busy(grant.worker)
         self.workers.release(grant.worker, report)
-        self._isolation.record_release(rank, grant.worker, seen, busy)
+        self._isolation.record_release(rank, grant.worker, measured, busy)
         self._account.settle(
-            self.backlog.deficits, rank, grant.charged_tokens, seen
+            self.backlog.deficits, rank, grant.charged_tokens, measured
         )
 
     def grant_next(self) -> Grant | None:
@@ -132,23 +132,23 @@
         ranks = list(
             self.backlog.deficits.order_ranks(self.backlog.waiting_ranks())
         )
-        for place, rank in enumerate(ranks):
+        for position, rank in enumerate(ranks):
             # A rank that goes before a more urgent one is owed its share.
-            is_owed = rank > min(ranks[place:])
-            suitable = free
+            is_owed = rank > min(ranks[position:])
+            eligible = free
             if not is_owed:
-                suitable = self._isolation.eligible_workers(rank, free)
-            grant = self._grant_in(rank, suitable)
+                eligible = self._isolation.eligible_workers(rank, free)
+            grant = self._grant_from_rank(rank, eligible)
             if grant is not None:
                 return grant
         return None
 
     def shed_excess(self) -> list[queue_orders.SlotRequest]:
         """Take out and return calls that would wait too long."""
-        beyond = self.backlog.excess(self.workers.slot_interval_ms)
-        for request in beyond:
-            self._forget(request.identifier)
-        return beyond
+        excess = self.backlog.excess(self.workers.slot_interval_ms)
+        for request in excess:
+            self._dequeue(request.identifier)
+        return excess
 
     def expected_wait_ms(self, rank: int) -> float:
         """Return how long a rank's next arrival will wait."""
@@ -156,29 +156,31 @@
             rank, self.workers.slot_interval_ms
         )
 
-    def _queue(self, request: queue_orders.SlotRequest) -> None:
+    def _enqueue(self, request: queue_orders.SlotRequest) -> None:
         arrived_ms = self._timer.now_ms() - request.waited_ms
         self.backlog.push(attrs.evolve(request, arrived_ms=arrived_ms))
 
-    def _grant_in(
+    def _grant_from_rank(
         self, rank: int, free: Sequence[placements.WorkerLoad]
     ) -> Grant | None:
         """Grant to one of the first calls of a rank that takes a slot."""
-        passed = []
+        deferred = []
         grant = None
-        while free and grant is None and len(passed) < MAX_DEFERRED_CALLS:
+        while free and grant is None and len(deferred) < MAX_DEFERRED_CALLS:
             request = self.backlog.pop(rank)
             if request is None:
                 break
-            fresh = [load for load in free if load.name not in request.avoided]
+            not_avoided = [
+                load for load in free if load.name not in request.avoided
+            ]
             load = self._placer.place(
-                request, fresh or free, self.workers.loads
+                request, not_avoided or free, self.workers.loads
             )
             if load is None:
-                passed.append(request)
+                deferred.append(request)
             else:
                 grant = self._grant(request, load, rank)
-        for request in passed:
+        for request in deferred:
             self.backlog.push(request)
         return grant
 
@@ -188,7 +190,7 @@
         load: placements.WorkerLoad,
         rank: int,
     ) -> Grant:
-        self._placer.forget(request.identifier)
+        self._placer.remove(request.identifier)
         load.busy += 1
         load.granted_total += 1
         self._isolation.record_grant(rank, load.name)
@@ -197,6 +199,6 @@
         self.granted[request.identifier] = grant
         return grant
 
-    def _forget(self, identifier: str) -> None:
+    def _dequeue(self, identifier: str) -> None:
         self.backlog.remove(identifier)
-        self._placer.forget(identifier)
+        self._placer.remove(identifier)
--- a/src/carobfork/coordination/isolations.py
+++ b/src/carobfork/coordination/isolations.py
@@ -16,9 +16,9 @@
 
 ISOLATION_TTL_MS = 3000
 """How long an engine stays isolated after its last isolating grant."""
-_OTHERS_PART = 0.5
+_OTHER_RANKS_RATIO = 0.5
 """Part of the short batch that calls of other ranks may fill."""
-_FILL = 0.8
+_FILL_RATIO = 0.8
 """Part of the short batches that isolating calls fill before one more worker
 is isolated."""
 
@@ -36,9 +36,9 @@
         """Start without isolated workers."""
         self._ranks = ranks
         self._timer = timer
-        self._paces: dict[str, latency_models.LatencyModel] = {}
-        self._isolating: collections.Counter[str] = collections.Counter()
-        self._until_ms: dict[str, float] = {}
+        self._latency_models: dict[str, latency_models.LatencyModel] = {}
+        self._isolating_calls: collections.Counter[str] = collections.Counter()
+        self._isolated_until_ms: dict[str, float] = {}
 
     def apply(self, ranks: Sequence[bundles.Rank]) -> None:
         """Take over the ranks of a bundle."""
@@ -51,8 +51,10 @@
     def record_grant(self, rank: int, worker: str) -> None:
         """Note a slot that was granted."""
         if self.has_latency_target(rank):
-            self._isolating[worker] += 1
-            self._until_ms[worker] = self._timer.now_ms() + ISOLATION_TTL_MS
+            self._isolating_calls[worker] += 1
+            self._isolated_until_ms[worker] = (
+                self._timer.now_ms() + ISOLATION_TTL_MS
+            )
 
     def record_release(
         self,
@@ -63,10 +65,14 @@
     ) -> None:
         """Note a slot that came free, and learn from it."""
         if self.has_latency_target(rank):
-            self._isolating[worker] = max(0, self._isolating[worker] - 1)
+            self._isolating_calls[worker] = max(
+                0, self._isolating_calls[worker] - 1
+            )
         if report.between_tokens_ms:
-            pace = self._paces.setdefault(worker, latency_models.LatencyModel())
-            pace.observe(busy, report.between_tokens_ms)
+            model = self._latency_models.setdefault(
+                worker, latency_models.LatencyModel()
+            )
+            model.observe(busy, report.between_tokens_ms)
 
     def eligible_workers(
         self, rank: int, free: Sequence[placements.WorkerLoad]
@@ -76,44 +82,61 @@
         A call that isolates is never left without a worker; it takes
         isolated ones with room first, so that few are isolated.
         """
-        kept = self._kept(free)
+        isolated_names = self._isolated_workers(free)
         if not self.has_latency_target(rank):
-            return [load for load in free if self._admits_others(load, kept)]
-        short = [load for load in free if load.busy < self._short(load, rank)]
-        isolated = [load for load in short if load.name in kept]
-        return isolated or short or free
+            return [
+                load
+                for load in free
+                if self._has_room_for_others(load, isolated_names)
+            ]
+        below_limit = [
+            load for load in free if load.busy < self._batch_limit(load, rank)
+        ]
+        isolated = [load for load in below_limit if load.name in isolated_names]
+        return isolated or below_limit or free
 
-    def _kept(self, free: Sequence[placements.WorkerLoad]) -> set[str]:
+    def _isolated_workers(
+        self, free: Sequence[placements.WorkerLoad]
+    ) -> set[str]:
         """Return the workers to keep isolated, those used most first."""
         now_ms = self._timer.now_ms()
         isolated = sorted(
-            (name for name, until in self._until_ms.items() if now_ms < until),
-            key=lambda name: -self._isolating[name],
+            (
+                name
+                for name, until in self._isolated_until_ms.items()
+                if now_ms < until
+            ),
+            key=lambda name: -self._isolating_calls[name],
+        )
+        batch_limit = min(
+            (self._min_batch_limit(load) for load in free), default=1
         )
-        shortest = min((self._shortest(load) for load in free), default=1)
-        calls = self._isolating.total() + 1
-        return set(isolated[: math.ceil(calls / (shortest * _FILL))])
+        calls = self._isolating_calls.total() + 1
+        return set(isolated[: math.ceil(calls / (batch_limit * _FILL_RATIO))])
 
-    def _admits_others(
-        self, load: placements.WorkerLoad, kept: set[str]
+    def _has_room_for_others(
+        self, load: placements.WorkerLoad, isolated_names: set[str]
     ) -> bool:
-        if load.name not in kept and not self._isolating[load.name]:
+        if (
+            load.name not in isolated_names
+            and not self._isolating_calls[load.name]
+        ):
             return True
-        return load.busy < self._shortest(load) * _OTHERS_PART
+        return load.busy < self._min_batch_limit(load) * _OTHER_RANKS_RATIO
 
-    def _shortest(self, load: placements.WorkerLoad) -> float:
-        shorts = [
-            self._short(load, rank)
+    def _min_batch_limit(self, load: placements.WorkerLoad) -> float:
+        batch_limits = [
+            self._batch_limit(load, rank)
             for rank in range(len(self._ranks))
             if self.has_latency_target(rank)
         ]
-        return min(shorts, default=load.slot_limit)
+        return min(batch_limits, default=load.slot_limit)
 
-    def _short(self, load: placements.WorkerLoad, rank: int) -> float:
-        pace = self._paces.get(load.name)
-        if pace is None:
+    def _batch_limit(self, load: placements.WorkerLoad, rank: int) -> float:
+        model = self._latency_models.get(load.name)
+        if model is None:
             return load.slot_limit
-        return pace.max_slots(self._target_ms(rank))
+        return model.max_slots(self._target_ms(rank))
 
     def _target_ms(self, rank: int) -> float:
         if rank >= len(self._ranks):
--- a/src/carobfork/coordination/latency_models.py
+++ b/src/carobfork/coordination/latency_models.py
@@ -5,9 +5,9 @@
 
 import math
 
-_MEMORY = 0.98
-_LEAST_SPREAD = 1e-6
-_LEAST_SLOTS = 1
+_DECAY = 0.98
+_MIN_VARIANCE = 1e-6
+_MIN_SLOTS = 1
 
 
 class LatencyModel:
@@ -23,11 +23,11 @@
 
     def observe(self, busy: int, between_tokens_ms: float) -> None:
         """Learn from a call that ended while ``busy`` slots were held."""
-        self._weight = self._weight * _MEMORY + 1
-        self._busy = self._busy * _MEMORY + busy
-        self._between_ms = self._between_ms * _MEMORY + between_tokens_ms
-        self._busy_squared = self._busy_squared * _MEMORY + busy * busy
-        self._product = self._product * _MEMORY + busy * between_tokens_ms
+        self._weight = self._weight * _DECAY + 1
+        self._busy = self._busy * _DECAY + busy
+        self._between_ms = self._between_ms * _DECAY + between_tokens_ms
+        self._busy_squared = self._busy_squared * _DECAY + busy * busy
+        self._product = self._product * _DECAY + busy * between_tokens_ms
 
     def max_slots(self, target_ms: float) -> float:
         """Return how many slots keep the target, infinite if unknown."""
@@ -35,13 +35,13 @@
             return math.inf
         mean_busy = self._busy / self._weight
         mean_ms = self._between_ms / self._weight
-        spread = self._busy_squared / self._weight - mean_busy**2
+        variance = self._busy_squared / self._weight - mean_busy**2
         slope = 0
-        if spread > _LEAST_SPREAD:
+        if variance > _MIN_VARIANCE:
             covariance = self._product / self._weight - mean_busy * mean_ms
-            slope = covariance / spread
+            slope = covariance / variance
         if slope <= 0:
             # No spread yet: take the time to be proportional to the slots.
             slope = mean_ms / mean_busy
         slots = mean_busy + (target_ms - mean_ms) / slope
-        return max(_LEAST_SLOTS, int(slots))
+        return max(_MIN_SLOTS, int(slots))
--- a/src/carobfork/coordination/outcome_counts.py
+++ b/src/carobfork/coordination/outcome_counts.py
@@ -6,7 +6,7 @@
 
 from carobfork import exceptions
 
-_INTERNAL = exceptions.CarobforkError
+_INTERNAL_ERROR = exceptions.CarobforkError
 
 
 @attrs.frozen
@@ -30,7 +30,7 @@
 
     def count_error(self, error: Exception) -> None:
         """Count a request that ended with an error."""
-        known = _INTERNAL
+        known = _INTERNAL_ERROR
         if isinstance(error, exceptions.CarobforkError):
             known = error
         self.counts[Ending(str(known.outcome), known.code)] += 1
--- a/src/carobfork/coordination/placements.py
+++ b/src/carobfork/coordination/placements.py
@@ -13,7 +13,7 @@
 DEFAULT_PREFILL_TOKENS_PER_MS = 10
 INITIAL_RETRY_DELAY_MS = 200
 MAX_RETRY_DOUBLINGS = 5
-_WEIGHT = 0.1
+_SAMPLE_WEIGHT = 0.1
 
 
 @attrs.define
@@ -120,7 +120,7 @@
 
 def moving_average(mean: float, sample: float) -> float:
     """Return a moving average; a mean of 0 stands for no samples yet."""
-    return mean + _WEIGHT * (sample - mean) if mean else sample
+    return mean + _SAMPLE_WEIGHT * (sample - mean) if mean else sample
 
 
 @register('round_robin')
--- a/src/carobfork/coordination/placers.py
+++ b/src/carobfork/coordination/placers.py
@@ -9,7 +9,7 @@
 
 
 @attrs.frozen
-class _Passed:
+class _Deferral:
     """A call that was passed over to wait for a worker."""
 
     load: placements.WorkerLoad
@@ -29,7 +29,7 @@
         """Start without calls passed over."""
         self._policy = policy
         self._timer = timer
-        self._passed: dict[str, _Passed] = {}
+        self._deferrals: dict[str, _Deferral] = {}
 
     def place(
         self,
@@ -39,19 +39,19 @@
     ) -> placements.WorkerLoad | None:
         """Return a free worker, or nothing to pass the call over."""
         now_ms = self._timer.now_ms()
-        passed = self._passed.get(request.identifier)
-        since_ms = passed.since_ms if passed else now_ms
+        deferral = self._deferrals.get(request.identifier)
+        since_ms = deferral.since_ms if deferral else now_ms
         load = self._policy(
             request, placements.Candidates(free, workers, now_ms - since_ms)
         )
-        if load is None and passed is None:
+        if load is None and deferral is None:
             awaited = workers[request.last_worker]
             awaited.deferred_calls += 1
-            self._passed[request.identifier] = _Passed(awaited, now_ms)
+            self._deferrals[request.identifier] = _Deferral(awaited, now_ms)
         return load
 
-    def forget(self, identifier: str) -> None:
+    def remove(self, identifier: str) -> None:
         """Forget a call that was placed or went away."""
-        passed = self._passed.pop(identifier, None)
-        if passed is not None:
-            passed.load.deferred_calls -= 1
+        deferral = self._deferrals.pop(identifier, None)
+        if deferral is not None:
+            deferral.load.deferred_calls -= 1
--- a/src/carobfork/coordination/pool_hosts.py
+++ b/src/carobfork/coordination/pool_hosts.py
@@ -63,18 +63,22 @@
         """Start without pools; a bundle brings them."""
         self._mailbox = mailbox
         self._timer = timer
-        self._unusable = find_unusable
+        self._find_unusable = find_unusable
         self._bundle: bundles.Bundle | None = None
         self._pools: dict[str, pools.Pool] = {}
         self._leaving: frozenset[str] = frozenset()
         self._servers: dict[str, pool_servers.PoolServer] = {}
         server = pool_servers.PoolServer
-        mailbox.on(slot_messages.SlotsAsked, self._passing(server.submit))
-        mailbox.on(slot_messages.SlotReleased, self._passing(server.release))
+        mailbox.on(slot_messages.SlotsAsked, self._route_to_pool(server.submit))
         mailbox.on(
-            slot_messages.SlotsOpen, self._passing(server.answer_summary)
+            slot_messages.SlotReleased, self._route_to_pool(server.release)
+        )
+        mailbox.on(
+            slot_messages.SlotsOpen, self._route_to_pool(server.answer_summary)
+        )
+        mailbox.on(
+            slot_messages.SlotsListed, self._route_to_pool(server.reconcile)
         )
-        mailbox.on(slot_messages.SlotsListed, self._passing(server.reconcile))
 
     def apply_bundle(self, bundle: bundles.Bundle) -> None:
         """Take over a bundle's pools; those that it lacks are dropped."""
@@ -110,7 +114,7 @@
 
     def grant(self) -> None:
         """Grant slots to calls that have waited for their worker enough."""
-        self.mark_leaving(self._unusable())
+        self.mark_leaving(self._find_unusable())
         for server in self._servers.values():
             if len(server.dispatcher.backlog):
                 server.grant()
@@ -126,11 +130,11 @@
         servers = list(self._servers.items())[:MAX_DUMPED_POOLS]
         return [_describe(name, server) for name, server in servers]
 
-    def _passing(self, action: Callable) -> Callable:
+    def _route_to_pool(self, action: Callable) -> Callable:
         """Return a handler that finds a message's pool and acts on it."""
 
         def handle(message) -> None:  # noqa: WPS430
-            server = self._find(message.pool)
+            server = self._find_server(message.pool)
             # A pool that is not known yet comes with a bundle; until then
             # the holder's ticks bring the message again.
             if server is not None:
@@ -138,7 +142,7 @@
 
         return handle
 
-    def _find(self, name: str) -> pool_servers.PoolServer | None:
+    def _find_server(self, name: str) -> pool_servers.PoolServer | None:
         if name not in self._servers and name in self._pools:
             server = pool_servers.PoolServer(
                 self._pools[name], self._bundle, self._timer, self._mailbox
--- a/src/carobfork/coordination/pool_routes.py
+++ b/src/carobfork/coordination/pool_routes.py
@@ -40,52 +40,54 @@
         self.suspects: set[identifiers.Incarnation] = set()
         self._find_own = find_own
         self._hosts = hosts
-        self._current: dict[str, identifiers.Incarnation] = {}
-        self._unanswered: dict[identifiers.Incarnation, int] = {}
+        self._pool_hosts: dict[str, identifiers.Incarnation] = {}
+        self._unanswered_counts: dict[identifiers.Incarnation, int] = {}
 
     def apply(self, names: Iterable[str]) -> None:
         """Route these pools and no others."""
         kept = set(names)
-        self._current = {
-            pool: host for pool, host in self._current.items() if pool in kept
+        self._pool_hosts = {
+            pool: host
+            for pool, host in self._pool_hosts.items()
+            if pool in kept
         }
-        hosts = self._candidates()
+        hosts = self._candidate_hosts()
         for name in kept:
-            self._current.setdefault(
+            self._pool_hosts.setdefault(
                 name, pools.responsible_host(name, hosts).incarnation
             )
 
     def find(self, pool: str) -> identifiers.Incarnation | None:
         """Return the host that serves a pool, nothing for an unknown pool."""
-        return self._current.get(pool)
+        return self._pool_hosts.get(pool)
 
     def record_summary(self, host: identifiers.Incarnation) -> None:
         """Note a summary that should be answered."""
-        count = self._unanswered.get(host, 0) + 1
-        self._unanswered[host] = count
+        count = self._unanswered_counts.get(host, 0) + 1
+        self._unanswered_counts[host] = count
         if count > MAX_UNANSWERED_SUMMARIES and host != self._find_own():
             self.suspects.add(host)
 
     def record_answer(self, host: identifiers.Incarnation) -> None:
         """Note that a host answers."""
-        self._unanswered.pop(host, None)
+        self._unanswered_counts.pop(host, None)
         self.suspects.discard(host)
 
     def refresh(self) -> list[PoolMove]:
         """Choose anew among the live hosts and return what moved."""
         live = {host.incarnation for host in self._hosts.live()}
         self.suspects &= live
-        hosts = self._candidates()
+        hosts = self._candidate_hosts()
         moves = []
-        for pool, former in self._current.items():
+        for pool, former in self._pool_hosts.items():
             current = pools.responsible_host(pool, hosts).incarnation
             if current != former:
                 moves.append(PoolMove(pool, former, current))
         for move in moves:
-            self._current[move.pool] = move.current
+            self._pool_hosts[move.pool] = move.current
         return moves
 
-    def _candidates(self) -> list[routing.EntryHost]:
+    def _candidate_hosts(self) -> list[routing.EntryHost]:
         """Return the hosts to choose from; this one stays if all others go."""
         live = self._hosts.live()
         chosen = [
--- a/src/carobfork/coordination/pool_servers.py
+++ b/src/carobfork/coordination/pool_servers.py
@@ -49,7 +49,7 @@
         self._mailbox = mailbox
         self._settling_ticks = 0
         self._holders: dict[identifiers.Incarnation, Holder] = {}
-        self._holder_of: dict[str, identifiers.Incarnation] = {}
+        self._holder_by_call: dict[str, identifiers.Incarnation] = {}
 
     def apply(self, pool: pools.Pool, bundle: bundles.Bundle) -> None:
         """Take over a bundle's workers, ranks and policies."""
@@ -59,22 +59,22 @@
 
     def submit(self, message: slot_messages.SlotsAsked) -> None:
         """Queue calls; one that has its slot is told again."""
-        holder = self._heard(message.sender)
+        holder = self._touch_holder(message.sender)
         for request in message.requests:
             try:
                 self.dispatcher.submit(request)
             except exceptions.OverloadedError as error:
                 wait_ms = error.retry_after_ms or 0
-                self._refuse(message.sender, request.identifier, wait_ms)
+                self._send_refusal(message.sender, request.identifier, wait_ms)
                 continue
-            self._open(message.sender, holder, request.identifier)
-            self._tell_again(request.identifier)
+            self._add_call(message.sender, holder, request.identifier)
+            self._resend_grant(request.identifier)
         self.grant()
 
     def release(self, message: slot_messages.SlotReleased) -> None:
         """Forget a call and learn from what was served."""
-        self._heard(message.sender)
-        self._close(message.sender, message.identifier, message.served)
+        self._touch_holder(message.sender)
+        self._remove_call(message.sender, message.identifier, message.served)
         self.grant()
 
     def answer_summary(self, message: slot_messages.SlotsOpen) -> None:
@@ -83,7 +83,7 @@
         Held slots must differ twice: a grant may just be on its way, and a
         whole list is long in a flood.
         """
-        holder = self._heard(message.sender)
+        holder = self._touch_holder(message.sender)
         held = [
             name
             for name in holder.open_calls
@@ -116,25 +116,25 @@
         """
         if not self._holders and (message.held or message.waiting):
             self._settling_ticks = SETTLING_TICKS
-        holder = self._heard(message.sender)
+        holder = self._touch_holder(message.sender)
         held = {holding.request.identifier for holding in message.held}
         waiting = {request.identifier for request in message.waiting}
         for identifier in set(holder.open_calls) - held - waiting:
-            self._close(message.sender, identifier)
+            self._remove_call(message.sender, identifier)
         for holding in message.held:
             self.dispatcher.adopt_grant(holding.request, holding.worker)
-            self._open(message.sender, holder, holding.request.identifier)
+            self._add_call(message.sender, holder, holding.request.identifier)
         for request in message.waiting:
             self.dispatcher.enqueue_admitted(request)
-            self._open(message.sender, holder, request.identifier)
-            self._tell_again(request.identifier)
+            self._add_call(message.sender, holder, request.identifier)
+            self._resend_grant(request.identifier)
         self.grant()
 
     def remove_holder(self, sender: identifiers.Incarnation) -> None:
         """Free all slots of a host that is gone."""
         holder = self._holders.pop(sender, Holder())
         for identifier in list(holder.open_calls):
-            self._close(sender, identifier)
+            self._remove_call(sender, identifier)
         self.grant()
 
     def grant(self) -> None:
@@ -142,17 +142,17 @@
         if self._settling_ticks:
             return
         while (grant := self.dispatcher.grant_next()) is not None:
-            self._tell(grant)
+            self._send_grant(grant)
 
     def tick(self) -> None:
         """Shorten the queue and forget holders that fell silent."""
         self._settling_ticks = max(0, self._settling_ticks - 1)
         for request in self.dispatcher.shed_excess():
-            sender = self._holder_of[request.identifier]
+            sender = self._holder_by_call[request.identifier]
             rank = min(request.rank, self._rank_count - 1)
             wait_ms = self.dispatcher.expected_wait_ms(rank)
-            self._close(sender, request.identifier)
-            self._refuse(sender, request.identifier, wait_ms)
+            self._remove_call(sender, request.identifier)
+            self._send_refusal(sender, request.identifier, wait_ms)
         for sender, holder in list(self._holders.items()):
             holder.silent_ticks += 1
             silent = holder.silent_ticks > MAX_SILENT_TICKS
@@ -160,46 +160,46 @@
                 self.remove_holder(sender)
         self.grant()
 
-    def _heard(self, sender: identifiers.Incarnation) -> Holder:
+    def _touch_holder(self, sender: identifiers.Incarnation) -> Holder:
         holder = self._holders.setdefault(sender, Holder())
         holder.silent_ticks = 0
         return holder
 
-    def _open(
+    def _add_call(
         self, sender: identifiers.Incarnation, holder: Holder, identifier: str
     ) -> None:
         holder.open_calls[identifier] = None
-        self._holder_of[identifier] = sender
+        self._holder_by_call[identifier] = sender
 
-    def _close(
+    def _remove_call(
         self,
         sender: identifiers.Incarnation,
         identifier: str,
-        served: slot_limiters.CallReport | None = None,
+        report: slot_limiters.CallReport | None = None,
     ) -> None:
         """Forget a call, unless another holder has taken it over."""
-        if self._holder_of.get(identifier) == sender:
-            self._holder_of.pop(identifier)
-            self.dispatcher.release(identifier, served)
+        if self._holder_by_call.get(identifier) == sender:
+            self._holder_by_call.pop(identifier)
+            self.dispatcher.release(identifier, report)
         holder = self._holders.get(sender)
         if holder is not None:
             holder.open_calls.pop(identifier, None)
 
-    def _tell_again(self, identifier: str) -> None:
+    def _resend_grant(self, identifier: str) -> None:
         grant = self.dispatcher.granted.get(identifier)
         if grant is not None:
-            self._tell(grant)
+            self._send_grant(grant)
 
-    def _tell(self, grant: dispatchers.Grant) -> None:
+    def _send_grant(self, grant: dispatchers.Grant) -> None:
         identifier = grant.request.identifier
         self._mailbox.send(
-            self._holder_of[identifier],
+            self._holder_by_call[identifier],
             slot_messages.SlotGranted(
                 self._mailbox.own, self._pool, identifier, grant.worker
             ),
         )
 
-    def _refuse(
+    def _send_refusal(
         self,
         sender: identifiers.Incarnation,
         identifier: str,
--- a/src/carobfork/coordination/pool_waits.py
+++ b/src/carobfork/coordination/pool_waits.py
@@ -10,7 +10,7 @@
 @attrs.frozen
 class _Wait:
     wait_ms: float
-    noted_ms: float
+    recorded_ms: float
 
 
 class WaitTable:
@@ -31,6 +31,9 @@
     def get_ms(self, pool: str, rank: int) -> float:
         """Return what a rank must wait, 0 where it is not known."""
         wait = self._waits.get((pool, rank))
-        if wait is None or self._timer.now_ms() - wait.noted_ms > WAIT_TTL_MS:
+        if (
+            wait is None
+            or self._timer.now_ms() - wait.recorded_ms > WAIT_TTL_MS
+        ):
             return 0
         return wait.wait_ms
--- a/src/carobfork/coordination/queues.py
+++ b/src/carobfork/coordination/queues.py
@@ -4,7 +4,7 @@
 
 from carobfork.coordination import queue_orders
 
-_SLACK = 64
+_MAX_SPARE_ENTRIES = 64
 
 
 class RankQueue:
@@ -18,7 +18,7 @@
         self.requests: dict[str, queue_orders.SlotRequest] = {}
         self._policy = policy
         self._heap: list[tuple[float, int, str]] = []
-        self._number = 0
+        self._sequence = 0
 
     def __len__(self) -> int:
         """Return how many calls wait."""
@@ -27,10 +27,10 @@
     def push(self, request: queue_orders.SlotRequest) -> None:
         """Add a call."""
         self.requests[request.identifier] = request
-        self._number += 1
+        self._sequence += 1
         key = self._policy.key(request)
-        heapq.heappush(self._heap, (key, self._number, request.identifier))
-        if len(self._heap) > 2 * len(self.requests) + _SLACK:
+        heapq.heappush(self._heap, (key, self._sequence, request.identifier))
+        if len(self._heap) > 2 * len(self.requests) + _MAX_SPARE_ENTRIES:
             self._compact()
 
     def remove(self, identifier: str) -> queue_orders.SlotRequest | None:
--- a/src/carobfork/coordination/rank_deficits.py
+++ b/src/carobfork/coordination/rank_deficits.py
@@ -38,10 +38,10 @@
             deficit = self.deficit_tokens[rank] + share * tokens
             if rank == served:
                 deficit -= tokens
-            self.deficit_tokens[rank] = _bounded(deficit)
+            self.deficit_tokens[rank] = _clamp(deficit)
             if rank not in waiting:
                 self.deficit_tokens[rank] = 0
 
 
-def _bounded(deficit: float) -> float:
+def _clamp(deficit: float) -> float:
     return max(-MAX_DEFICIT_TOKENS, min(MAX_DEFICIT_TOKENS, deficit))
--- a/src/carobfork/coordination/rings.py
+++ b/src/carobfork/coordination/rings.py
@@ -14,17 +14,19 @@
     hosts: Iterable[routing.EntryHost], name: str
 ) -> list[routing.EntryHost]:
     """Return the hosts that follow a name on the ring, nearest first."""
-    return _from(name, sorted(hosts, key=_position))[:SUCCESSOR_COUNT]
+    return _hosts_after(name, sorted(hosts, key=_position))[:SUCCESSOR_COUNT]
 
 
 def predecessors(
     hosts: Iterable[routing.EntryHost], name: str
 ) -> list[routing.EntryHost]:
     """Return the hosts that have a name among their successors."""
-    return _from(name, sorted(hosts, key=_position))[-SUCCESSOR_COUNT:]
+    return _hosts_after(name, sorted(hosts, key=_position))[-SUCCESSOR_COUNT:]
 
 
-def _from(name: str, ring: list[routing.EntryHost]) -> list[routing.EntryHost]:
+def _hosts_after(
+    name: str, ring: list[routing.EntryHost]
+) -> list[routing.EntryHost]:
     start = _hash(name)
     after = [host for host in ring if _position(host) > start]
     before = [host for host in ring if _position(host) < start]
--- a/src/carobfork/coordination/slot_clients.py
+++ b/src/carobfork/coordination/slot_clients.py
@@ -50,9 +50,9 @@
         self._routes = routes
         self._timer = timer
         self._pools: dict[str, pools.Pool] = {}
-        mailbox.on(slot_messages.SlotGranted, self._take_grant)
-        mailbox.on(slot_messages.SlotRefused, self._take_refusal)
-        mailbox.on(slot_messages.SlotsSeen, self._take_comparison)
+        mailbox.on(slot_messages.SlotGranted, self._handle_grant)
+        mailbox.on(slot_messages.SlotRefused, self._handle_refusal)
+        mailbox.on(slot_messages.SlotsSeen, self._handle_summary_answer)
 
     def apply_bundle(self, bundle: bundles.Bundle) -> None:
         """Use a bundle's pools; calls for a pool that is gone fail."""
@@ -60,7 +60,9 @@
         self._routes.apply(self._pools)
         for name in self._claims.pools() - set(self._pools):
             for claim in self._claims.at(name):
-                claim.granted.set_exception(_no_pool(claim.request.model))
+                claim.granted.set_exception(
+                    _no_worker_error(claim.request.model)
+                )
 
     @contextlib.contextmanager
     def acquire(
@@ -72,23 +74,23 @@
         :raises NotRunError: no worker serves the model.
         """
         claim = claims.Claim(
-            request, self._choose(request).name, self._timer.now_ms()
+            request, self._choose_pool(request).name, self._timer.now_ms()
         )
         self._claims.add(claim)
-        served = None
+        report = None
         try:
-            slot = self._wait(claim)
+            slot = self._wait_for_slot(claim)
             yield slot
-            served = slot.report()
+            report = slot.report()
         except exceptions.ConnectionFailedError:
-            served = slot_limiters.CallReport(failed=True)
+            report = slot_limiters.CallReport(failed=True)
             raise
         finally:
             self._claims.remove(claim)
             self._send(
                 claim.pool,
                 slot_messages.SlotReleased(
-                    self._mailbox.own, claim.pool, request.identifier, served
+                    self._mailbox.own, claim.pool, request.identifier, report
                 ),
             )
 
@@ -125,23 +127,25 @@
         """Move the open calls of pools that another host serves now."""
         for move in self._routes.refresh():
             logger.info('A pool moved.', pool=move.pool, peer=str(move.current))
-            nothing = slot_messages.SlotsListed(self._mailbox.own, move.pool)
-            self._mailbox.send(move.former, nothing)
+            empty_listing = slot_messages.SlotsListed(
+                self._mailbox.own, move.pool
+            )
+            self._mailbox.send(move.former, empty_listing)
             self._mailbox.send(
                 move.current,
                 self._claims.listing(self._mailbox.own, move.pool),
             )
 
-    def _choose(self, request: queue_orders.SlotRequest) -> pools.Pool:
+    def _choose_pool(self, request: queue_orders.SlotRequest) -> pools.Pool:
         candidates = [
             pool for pool in self._pools.values() if pool.model == request.model
         ]
         if not candidates:
-            raise _no_pool(request.model)
+            raise _no_worker_error(request.model)
         own = self._mailbox.own.host
         return pools.preferred_pool(request.last_worker, own, candidates)
 
-    def _wait(self, claim: claims.Claim) -> slots.Slot:
+    def _wait_for_slot(self, claim: claims.Claim) -> slots.Slot:
         self._send(
             claim.pool,
             slot_messages.SlotsAsked(
@@ -163,9 +167,9 @@
         if host is not None:
             self._mailbox.send(host, message)
 
-    def _take_grant(self, message: slot_messages.SlotGranted) -> None:
+    def _handle_grant(self, message: slot_messages.SlotGranted) -> None:
         self._routes.record_answer(message.sender)
-        claim = self._claim_at(message)
+        claim = self._find_claim(message)
         if claim is None or not self._knows_worker(message):
             self._mailbox.send(
                 message.sender,
@@ -177,9 +181,9 @@
             claim.worker = message.worker
             claim.granted.set(message.worker)
 
-    def _take_refusal(self, message: slot_messages.SlotRefused) -> None:
+    def _handle_refusal(self, message: slot_messages.SlotRefused) -> None:
         self._routes.record_answer(message.sender)
-        claim = self._claim_at(message)
+        claim = self._find_claim(message)
         if claim is not None and not claim.granted.ready():
             self._waits.record(
                 message.pool, claim.request.rank, message.wait_ms
@@ -188,7 +192,7 @@
                 backlogs.overloaded_error(claim.pool, message.wait_ms)
             )
 
-    def _take_comparison(self, message: slot_messages.SlotsSeen) -> None:
+    def _handle_summary_answer(self, message: slot_messages.SlotsSeen) -> None:
         self._routes.record_answer(message.sender)
         current = self._routes.find(message.pool) == message.sender
         for rank, wait_ms in enumerate(message.waits_ms if current else ()):
@@ -199,7 +203,7 @@
                 listing = self._claims.listing(self._mailbox.own, message.pool)
             self._mailbox.send(message.sender, listing)
 
-    def _claim_at(self, message) -> claims.Claim | None:
+    def _find_claim(self, message) -> claims.Claim | None:
         """Return a message's call if its sender is the one that serves it."""
         if self._routes.find(message.pool) != message.sender:
             return None
@@ -216,7 +220,7 @@
             self._mailbox.send(suspect, message)
 
 
-def _no_pool(model: str) -> exceptions.NotRunError:
+def _no_worker_error(model: str) -> exceptions.NotRunError:
     return exceptions.NotRunError(
         'no worker serves the model', step='find pool', peer=model
     )
--- a/src/carobfork/coordination/slot_limiters.py
+++ b/src/carobfork/coordination/slot_limiters.py
@@ -96,26 +96,26 @@
         """Start with the initial limit."""
         self.limit = INITIAL_SLOT_LIMIT
         self._target_ms = target_ms
-        self._round = _Round()
+        self._window = _SampleWindow()
 
     def observe(self, report: CallReport, busy: int) -> None:
         """Learn from a call that ended while ``busy`` slots were held."""
         if not report.between_tokens_ms:
             return
-        self._round.add(report, busy)
-        if self._round.samples >= self.limit:
-            self._adjust(self._round)
-            self._round = _Round()
-
-    def _adjust(self, seen: '_Round') -> None:
-        reached = seen.between_tokens_ms / self._target_ms
-        if reached > self.target_ratio:
+        self._window.add(report, busy)
+        if self._window.samples >= self.limit:
+            self._adjust(self._window)
+            self._window = _SampleWindow()
+
+    def _adjust(self, window: '_SampleWindow') -> None:
+        latency_ratio = window.between_tokens_ms / self._target_ms
+        if latency_ratio > self.target_ratio:
             self.limit = max(
                 MIN_SLOT_LIMIT, int(self.limit * self.decrease_ratio)
             )
-        elif seen.most_busy >= self.limit:
+        elif window.max_busy >= self.limit:
             more = self.limit + 1
-            if reached < self.headroom_ratio:
+            if latency_ratio < self.headroom_ratio:
                 more = int(self.limit * self.increase_ratio)
             self.limit = min(MAX_SLOT_LIMIT, more)
 
@@ -137,7 +137,7 @@
     def __init__(self, target_ms: float) -> None:
         """Start with the initial limit."""
         self.limit = INITIAL_SLOT_LIMIT
-        self._round = _Round()
+        self._window = _SampleWindow()
         self._last_limit = 0
         self._last_throughput = 0
 
@@ -145,20 +145,23 @@
         """Learn from a call that ended while ``busy`` slots were held."""
         if not report.between_tokens_ms:
             return
-        self._round.add(report, busy)
-        if self._round.samples >= self.limit:
-            if self._round.most_busy >= self.limit:
-                self._adjust(self._round.throughput)
-            self._round = _Round()
+        self._window.add(report, busy)
+        if self._window.samples >= self.limit:
+            if self._window.max_busy >= self.limit:
+                self._adjust(self._window.throughput)
+            self._window = _SampleWindow()
 
     def _adjust(self, throughput: float) -> None:
-        grown = (self.limit - self._last_limit) / self.limit
-        gained = (throughput - self._last_throughput) / throughput
+        slot_growth = (self.limit - self._last_limit) / self.limit
+        throughput_growth = (throughput - self._last_throughput) / throughput
         step = max(1, int(self.limit * self.step_ratio))
-        if gained < grown * self.min_gain_ratio or not grown:
+        if (
+            throughput_growth < slot_growth * self.min_gain_ratio
+            or not slot_growth
+        ):
             step = -step
         # Going down, few tokens lost for many slots cut confirm the way.
-        if grown < 0:
+        if slot_growth < 0:
             step = -step
         self._last_limit = self.limit
         self._last_throughput = throughput
@@ -166,19 +169,19 @@
 
 
 @attrs.define
-class _Round:
+class _SampleWindow:
     """Samples since the limit last changed."""
 
     samples: int = 0
     total_ms: float = 0
     total_busy: int = 0
-    most_busy: int = 0
+    max_busy: int = 0
 
     def add(self, report: CallReport, busy: int) -> None:
         self.samples += 1
         self.total_ms += report.between_tokens_ms
         self.total_busy += busy
-        self.most_busy = max(self.most_busy, busy)
+        self.max_busy = max(self.max_busy, busy)
 
     @property
     def between_tokens_ms(self) -> float:
--- a/src/carobfork/coordination/slot_messages.py
+++ b/src/carobfork/coordination/slot_messages.py
@@ -101,9 +101,9 @@
 
 def calls_digest(call_ids: Iterable[str]) -> int:
     """Return a number that stands for a set of calls, in any order."""
-    mixed = 0
+    combined = 0
     count = 0
     for identifier in call_ids:
-        mixed ^= zlib.crc32(identifier.encode())
+        combined ^= zlib.crc32(identifier.encode())
         count += 1
-    return count << _COUNT_SHIFT | mixed
+    return count << _COUNT_SHIFT | combined
--- a/src/carobfork/coordination/slots.py
+++ b/src/carobfork/coordination/slots.py
@@ -19,15 +19,15 @@
         self.worker = worker
         self._timer = timer
         self._granted_ms = timer.now_ms()
-        self._first_ms = 0
-        self._last_ms = 0
+        self._first_output_ms = 0
+        self._last_output_ms = 0
         self._output_tokens = 0
         self._prefilled_tokens = 0
 
     def record_output(self) -> None:
         """Note that events of the stream came."""
-        self._last_ms = self._timer.now_ms()
-        self._first_ms = self._first_ms or self._last_ms
+        self._last_output_ms = self._timer.now_ms()
+        self._first_output_ms = self._first_output_ms or self._last_output_ms
 
     def record_usage(self, output_tokens: int, prefilled_tokens: int) -> None:
         """Note what the engine computed.
@@ -41,9 +41,15 @@
         """Return what to report on release."""
         steps = self._output_tokens - 1
         between_ms = (
-            (self._last_ms - self._first_ms) / steps if steps > 0 else 0
+            (self._last_output_ms - self._first_output_ms) / steps
+            if steps > 0
+            else 0
+        )
+        first_ms = (
+            self._first_output_ms - self._granted_ms
+            if self._first_output_ms
+            else 0
         )
-        first_ms = self._first_ms - self._granted_ms if self._first_ms else 0
         return slot_limiters.CallReport(
             held_ms=self._timer.now_ms() - self._granted_ms,
             first_token_ms=first_ms,
--- a/src/carobfork/coordination/worker_tables.py
+++ b/src/carobfork/coordination/worker_tables.py
@@ -47,11 +47,11 @@
 
         :param busy: slots held, by worker.
         """
-        known = self.loads if self._keeps_limits(policy) else {}
+        known = self.loads if self._has_same_limiter(policy) else {}
         self._policy = policy
         self.loads = {}
         for worker in pool.workers:
-            load = known.get(worker.name) or self._new_load(worker.name)
+            load = known.get(worker.name) or self._create_load(worker.name)
             load.busy = busy.get(worker.name, 0)
             load.deferred_calls = 0
             self.loads[worker.name] = load
@@ -85,14 +85,14 @@
             load.observe(report, self._timer.now_ms())
         load.busy -= 1
 
-    def _keeps_limits(self, policy: bundles.Policy) -> bool:
+    def _has_same_limiter(self, policy: bundles.Policy) -> bool:
         former = self._policy
         return former is not None and (
             (former.limit, former.between_tokens_target_ms)
             == (policy.limit, policy.between_tokens_target_ms)
         )
 
-    def _new_load(self, name: str) -> placements.WorkerLoad:
+    def _create_load(self, name: str) -> placements.WorkerLoad:
         limiter = slot_limiters.LIMITERS[self._policy.limit]
         return placements.WorkerLoad(
             name, limiter(self._policy.between_tokens_target_ms)
--- a/src/carobfork/state/budgets.py
+++ b/src/carobfork/state/budgets.py
@@ -80,9 +80,9 @@
 
         :raises BudgetExceededError: the budget does not cover it.
         """
-        self._require(reservation.calls, self.free_calls, 'calls')
-        self._require(reservation.tokens, self.free_tokens, 'tokens')
-        self._require(1, self.free_time_ms, 'ms')
+        self._check_available(reservation.calls, self.free_calls, 'calls')
+        self._check_available(reservation.tokens, self.free_tokens, 'tokens')
+        self._check_available(1, self.free_time_ms, 'ms')
         self.reservations[identifier] = reservation
 
     def restore(self, identifier: str, reservation: Reservation) -> None:
@@ -99,7 +99,7 @@
         self.spent_calls += calls
         self.spent_tokens += tokens
 
-    def _require(self, asked: int, free: int, unit: str) -> None:
+    def _check_available(self, asked: int, free: int, unit: str) -> None:
         if asked > free:
             raise exceptions.BudgetExceededError(
                 f'{asked} {unit} asked, {max(free, 0)} {unit} left', step=_STEP
--- a/src/carobfork/state/programs.py
+++ b/src/carobfork/state/programs.py
@@ -93,12 +93,12 @@
     def subtree(self, identifier: str) -> list[Program]:
         """Return a program and all of its sub-agents, leaves first."""
         root = self.find(identifier)
-        below = [
+        descendants = [
             program
             for child in root.children
             for program in self.subtree(child)
         ]
-        return [*below, root]
+        return [*descendants, root]
 
     def apply_if_known(self, record: records.Record) -> None:
         """Apply a record unless its program was forgotten meanwhile."""
@@ -123,7 +123,7 @@
         """Bring the table up to date with one record."""
 
     @apply.register
-    def _opened(self, record: records.ProgramOpened) -> None:
+    def _apply_opened(self, record: records.ProgramOpened) -> None:
         self.programs[record.program] = Program(
             identifier=record.program,
             kind=record.kind,
@@ -142,7 +142,7 @@
             parent.ledger.restore(identifier, share)
 
     @apply.register
-    def _intended(self, record: records.IntentRecorded) -> None:
+    def _apply_intended(self, record: records.IntentRecorded) -> None:
         program = self.find(record.program)
         program.ledger.restore(
             budgets.call_reservation_id(record.key),
@@ -156,7 +156,7 @@
         )
 
     @apply.register
-    def _answered(self, record: records.AnswerRecorded) -> None:
+    def _apply_answered(self, record: records.AnswerRecorded) -> None:
         program = self.find(record.program)
         identifier = budgets.call_reservation_id(record.key)
         dispatched = program.dispatched.pop(record.key, None)
@@ -172,13 +172,13 @@
         )
 
     @apply.register
-    def _withdrawn(self, record: records.IntentWithdrawn) -> None:
+    def _apply_withdrawn(self, record: records.IntentWithdrawn) -> None:
         program = self.find(record.program)
         program.calls.pop(record.key, None)
         program.ledger.release(budgets.call_reservation_id(record.key))
 
     @apply.register
-    def _dispatched(self, record: spending.CallDispatched) -> None:
+    def _apply_dispatched(self, record: spending.CallDispatched) -> None:
         program = self.find(record.program)
         program.ledger.restore(
             record.reservation_id, budgets.Reservation(record.reserved_tokens)
@@ -187,12 +187,12 @@
         program.workers.add(record.target)
 
     @apply.register
-    def _failed(self, record: spending.AttemptFailed) -> None:
+    def _apply_failed(self, record: spending.AttemptFailed) -> None:
         ledger = self.find(record.program).ledger
         ledger.settle(record.reservation_id, record.tokens, calls=0)
 
     @apply.register
-    def _aged(self, record: spending.TimeSpent) -> None:
+    def _apply_time_spent(self, record: spending.TimeSpent) -> None:
         for identifier, spent_ms in record.spent_ms.items():
             program = self.programs.get(identifier)
             if program is not None:
@@ -201,7 +201,7 @@
                 ledger.spent_time_ms = max(ledger.spent_time_ms, spent_ms)
 
     @apply.register
-    def _closed(self, record: records.ProgramClosed) -> None:
+    def _apply_closed(self, record: records.ProgramClosed) -> None:
         program = self.find(record.program)
         if program.closed_reason:
             return
--- a/src/carobfork/state/validators.py
+++ b/src/carobfork/state/validators.py
@@ -22,7 +22,7 @@
 
     def validate(_owner, field, number) -> None:  # noqa: WPS430
         if not lowest <= number <= highest:
-            _refuse(field, number, f'a number from {lowest} to {highest}')
+            _reject(field, number, f'a number from {lowest} to {highest}')
 
     return validate
 
@@ -32,7 +32,7 @@
 
     def validate(_owner, field, number) -> None:  # noqa: WPS430
         if not number >= lowest:
-            _refuse(field, number, f'a number from {lowest} on')
+            _reject(field, number, f'a number from {lowest} on')
 
     return validate
 
@@ -43,7 +43,7 @@
     def validate(_owner, field, text) -> None:  # noqa: WPS430
         if text not in choices:
             allowed = ', '.join(f'"{choice}"' for choice in sorted(choices))
-            _refuse(field, text, f'one of {allowed}')
+            _reject(field, text, f'one of {allowed}')
 
     return validate
 
@@ -51,7 +51,7 @@
 def port(_owner, field: attrs.Attribute, number) -> None:
     """Accept TCP ports."""
     if not 1 <= number <= MAX_PORT:
-        _refuse(field, number, f'a port from 1 to {MAX_PORT}')
+        _reject(field, number, f'a port from 1 to {MAX_PORT}')
 
 
 def ip_address(_owner, field: attrs.Attribute, text) -> None:
@@ -59,22 +59,22 @@
     try:
         ipaddress.ip_address(text)
     except ValueError:
-        _refuse(field, text, 'an IP number such as 10.0.0.7')
+        _reject(field, text, 'an IP number such as 10.0.0.7')
 
 
 def name(_owner, field: attrs.Attribute, text) -> None:
     """Accept names that are safe in identifiers, paths and logs."""
     if not NAME.fullmatch(text):
-        _refuse(field, text, 'letters, digits, "_", "-" and blanks, at most 63')
+        _reject(field, text, 'letters, digits, "_", "-" and blanks, at most 63')
 
 
 def not_empty(_owner, field: attrs.Attribute, members) -> None:
     """Accept texts and lists that are not empty."""
     if not members:
-        _refuse(field, members, 'not empty')
+        _reject(field, members, 'not empty')
 
 
-def _refuse(field: attrs.Attribute, found: object, allowed: str) -> None:
+def _reject(field: attrs.Attribute, found: object, allowed: str) -> None:
     raise ValueError(
         f'{field.name} is {reprlib.repr(found)}, allowed: {allowed}'
     )
