--- a/src/carobfork/coordination/attempts.py
+++ b/src/carobfork/coordination/attempts.py
@@ -18,9 +18,9 @@
     calls,
     homes,
     journals,
-    orders,
     ports,
     prefixes,
+    queue_orders,
     runs,
     slots,
 )
@@ -131,10 +131,10 @@
         request = self._slot_request(task, prompt.attempt, tuple(tried))
         ledger = task.program.ledger
         ledger.reserve(
-            dispatched.reservation, budgets.Reservation(task.reserved_tokens)
+            dispatched.reservation_id, budgets.Reservation(task.reserved_tokens)
         )
         with contextlib.ExitStack() as rollback:
-            rollback.callback(ledger.release, dispatched.reservation)
+            rollback.callback(ledger.release, dispatched.reservation_id)
             with self._home.slots.acquire(request) as slot:
                 tried.append(slot.worker)
                 dispatched = attrs.evolve(
@@ -146,7 +146,7 @@
                 rollback.pop_all()
                 self._stream(task, dispatched, prompt, slot)
                 answer = self._backend.decode(task.run.raw_events())
-                slot.settle(answer.output_tokens, answer.prefilled_tokens)
+                slot.record_usage(answer.output_tokens, answer.prefilled_tokens)
         return self._record_answer(task, dispatched)
 
     def _stream(
@@ -161,7 +161,7 @@
         with self._cancelling_on_error(task.program, worker, dispatched):
             try:
                 for events in self._backend.stream(worker, prompt):
-                    slot.touch()
+                    slot.record_output()
                     task.run.push(events)
             except exceptions.ConnectionFailedError as error:
                 if task.run.is_empty:
@@ -284,9 +284,9 @@
 
     def _slot_request(
         self, task: ModelTask, identifier: str, tried: tuple[str, ...]
-    ) -> orders.SlotRequest:
+    ) -> queue_orders.SlotRequest:
         history = task.program.history()
-        return orders.SlotRequest(
+        return queue_orders.SlotRequest(
             identifier=identifier,
             program=task.program.identifier,
             model=task.call.model,
--- a/src/carobfork/coordination/rings.py
+++ b/src/carobfork/coordination/rings.py
@@ -6,25 +6,27 @@
 from carobfork.coordination import routing
 from carobfork.state import identifiers
 
-SUCCESSORS = 6
-KNOWN_NAMES = 2000
+SUCCESSOR_COUNT = 6
+HASH_CACHE_SIZE = 2000
 
 
 def successors(
     hosts: Iterable[routing.EntryHost], name: str
 ) -> list[routing.EntryHost]:
     """Return the hosts that follow a name on the ring, nearest first."""
-    return _from(name, sorted(hosts, key=_position))[:SUCCESSORS]
+    return _hosts_after(name, sorted(hosts, key=_position))[:SUCCESSOR_COUNT]
 
 
 def predecessors(
     hosts: Iterable[routing.EntryHost], name: str
 ) -> list[routing.EntryHost]:
     """Return the hosts that have a name among their successors."""
-    return _from(name, sorted(hosts, key=_position))[-SUCCESSORS:]
+    return _hosts_after(name, sorted(hosts, key=_position))[-SUCCESSOR_COUNT:]
 
 
-def _from(name: str, ring: list[routing.EntryHost]) -> list[routing.EntryHost]:
+def _hosts_after(
+    name: str, ring: list[routing.EntryHost]
+) -> list[routing.EntryHost]:
     start = _hash(name)
     after = [host for host in ring if _position(host) > start]
     before = [host for host in ring if _position(host) < start]
@@ -35,6 +37,6 @@
     return _hash(host.incarnation.host)
 
 
-@functools.lru_cache(maxsize=KNOWN_NAMES)
+@functools.lru_cache(maxsize=HASH_CACHE_SIZE)
 def _hash(name: str) -> str:
     return identifiers.digest(name.encode())
--- a/src/carobfork/coordination/peer_slots.py
+++ b/src/carobfork/coordination/slot_clients.py
@@ -12,24 +12,24 @@
     admissions,
     backlogs,
     claims,
-    limits,
     mailboxes,
-    orders,
     pool_routes,
     pool_waits,
     pools,
+    queue_orders,
+    slot_limiters,
     slot_messages,
     slots,
 )
 from carobfork.state import bundles, identifiers
 
 SLOT_TIMEOUT_MS = 30_000
-TICK_MS = 500
+SUMMARY_INTERVAL_MS = 500
 
 logger = structlog.get_logger(part='slots')
 
 
-class PeerSlots:
+class SlotClient:
     """Get slots from the hosts that are responsible for the pools.
 
     :param mailbox: carries the messages.
@@ -50,60 +50,64 @@
         self._routes = routes
         self._timer = timer
         self._pools: dict[str, pools.Pool] = {}
-        mailbox.on(slot_messages.SlotGranted, self._take_grant)
-        mailbox.on(slot_messages.SlotRefused, self._take_refusal)
-        mailbox.on(slot_messages.SlotsSeen, self._take_comparison)
+        mailbox.on(slot_messages.SlotGranted, self._handle_grant)
+        mailbox.on(slot_messages.SlotRefused, self._handle_refusal)
+        mailbox.on(slot_messages.SlotsSeen, self._handle_summary_answer)
 
     def apply_bundle(self, bundle: bundles.Bundle) -> None:
         """Use a bundle's pools; calls for a pool that is gone fail."""
-        self._pools = pools.split_all(bundle)
+        self._pools = pools.split_bundle(bundle)
         self._routes.apply(self._pools)
         for name in self._claims.pools() - set(self._pools):
             for claim in self._claims.at(name):
-                claim.granted.set_exception(_no_pool(claim.request.model))
+                claim.granted.set_exception(
+                    _no_worker_error(claim.request.model)
+                )
 
     @contextlib.contextmanager
-    def acquire(self, request: orders.SlotRequest) -> Iterator[slots.Slot]:
+    def acquire(
+        self, request: queue_orders.SlotRequest
+    ) -> Iterator[slots.Slot]:
         """Wait for a slot and hold it.
 
         :raises OverloadedError: no slot can be had in time.
         :raises NotRunError: no worker serves the model.
         """
         claim = claims.Claim(
-            request, self._choose(request).name, self._timer.now_ms()
+            request, self._choose_pool(request).name, self._timer.now_ms()
         )
         self._claims.add(claim)
-        served = None
+        report = None
         try:
-            slot = self._wait(claim)
+            slot = self._wait_for_slot(claim)
             yield slot
-            served = slot.served()
+            report = slot.report()
         except exceptions.ConnectionFailedError:
-            served = limits.Served(failed=True)
+            report = slot_limiters.CallReport(failed=True)
             raise
         finally:
             self._claims.remove(claim)
             self._send(
                 claim.pool,
                 slot_messages.SlotReleased(
-                    self._mailbox.own, claim.pool, request.identifier, served
+                    self._mailbox.own, claim.pool, request.identifier, report
                 ),
             )
 
-    def check_door(self, rank: int, queue_limit_ms: int) -> None:
+    def check_new_program(self, rank: int, queue_limit_ms: int) -> None:
         """Check that a new program of a rank may be opened.
 
         :raises OverloadedError: its first call would be refused.
         """
-        limit_ms = queue_limit_ms * admissions.NEW_PROGRAM_PART
-        waits_ms = [self._waits.find_ms(pool, rank) for pool in self._pools]
+        limit_ms = queue_limit_ms * admissions.NEW_PROGRAM_LIMIT_RATIO
+        waits_ms = [self._waits.get_ms(pool, rank) for pool in self._pools]
         if waits_ms and min(waits_ms) > limit_ms:
-            raise backlogs.overloaded('program', min(waits_ms))
+            raise backlogs.overloaded_error('program', min(waits_ms))
 
     def run(self) -> None:
         """Compare open calls with the pools' hosts until killed."""
         while True:
-            gevent.sleep(clock.to_seconds(TICK_MS))
+            gevent.sleep(clock.to_seconds(SUMMARY_INTERVAL_MS))
             self.tick()
 
     def tick(self) -> None:
@@ -114,7 +118,7 @@
         for pool in self._claims.pools():
             host = self._routes.find(pool)
             if host is not None:
-                self._routes.asked(host)
+                self._routes.record_summary(host)
                 self._mailbox.send(
                     host, self._claims.summary(self._mailbox.own, pool)
                 )
@@ -123,23 +127,25 @@
         """Move the open calls of pools that another host serves now."""
         for move in self._routes.refresh():
             logger.info('A pool moved.', pool=move.pool, peer=str(move.current))
-            nothing = slot_messages.SlotsListed(self._mailbox.own, move.pool)
-            self._mailbox.send(move.former, nothing)
+            empty_listing = slot_messages.SlotsListed(
+                self._mailbox.own, move.pool
+            )
+            self._mailbox.send(move.former, empty_listing)
             self._mailbox.send(
                 move.current,
                 self._claims.listing(self._mailbox.own, move.pool),
             )
 
-    def _choose(self, request: orders.SlotRequest) -> pools.Pool:
+    def _choose_pool(self, request: queue_orders.SlotRequest) -> pools.Pool:
         candidates = [
             pool for pool in self._pools.values() if pool.model == request.model
         ]
         if not candidates:
-            raise _no_pool(request.model)
+            raise _no_worker_error(request.model)
         own = self._mailbox.own.host
-        return pools.preferred(request.last_worker, own, candidates)
+        return pools.preferred_pool(request.last_worker, own, candidates)
 
-    def _wait(self, claim: claims.Claim) -> slots.Slot:
+    def _wait_for_slot(self, claim: claims.Claim) -> slots.Slot:
         self._send(
             claim.pool,
             slot_messages.SlotsAsked(
@@ -151,7 +157,9 @@
                 timeout=clock.to_seconds(SLOT_TIMEOUT_MS)
             )
         except gevent.Timeout:
-            raise backlogs.overloaded(claim.pool, SLOT_TIMEOUT_MS) from None
+            raise backlogs.overloaded_error(
+                claim.pool, SLOT_TIMEOUT_MS
+            ) from None
         return slots.Slot(worker, self._timer)
 
     def _send(self, pool: str, message: object) -> None:
@@ -159,9 +167,9 @@
         if host is not None:
             self._mailbox.send(host, message)
 
-    def _take_grant(self, message: slot_messages.SlotGranted) -> None:
-        self._routes.heard(message.sender)
-        claim = self._claim_at(message)
+    def _handle_grant(self, message: slot_messages.SlotGranted) -> None:
+        self._routes.record_answer(message.sender)
+        claim = self._find_claim(message)
         if claim is None or not self._knows_worker(message):
             self._mailbox.send(
                 message.sender,
@@ -173,27 +181,29 @@
             claim.worker = message.worker
             claim.granted.set(message.worker)
 
-    def _take_refusal(self, message: slot_messages.SlotRefused) -> None:
-        self._routes.heard(message.sender)
-        claim = self._claim_at(message)
+    def _handle_refusal(self, message: slot_messages.SlotRefused) -> None:
+        self._routes.record_answer(message.sender)
+        claim = self._find_claim(message)
         if claim is not None and not claim.granted.ready():
-            self._waits.note(message.pool, claim.request.rank, message.wait_ms)
+            self._waits.record(
+                message.pool, claim.request.rank, message.wait_ms
+            )
             claim.granted.set_exception(
-                backlogs.overloaded(claim.pool, message.wait_ms)
+                backlogs.overloaded_error(claim.pool, message.wait_ms)
             )
 
-    def _take_comparison(self, message: slot_messages.SlotsSeen) -> None:
-        self._routes.heard(message.sender)
+    def _handle_summary_answer(self, message: slot_messages.SlotsSeen) -> None:
+        self._routes.record_answer(message.sender)
         current = self._routes.find(message.pool) == message.sender
         for rank, wait_ms in enumerate(message.waits_ms if current else ()):
-            self._waits.note(message.pool, rank, wait_ms)
+            self._waits.record(message.pool, rank, wait_ms)
         if not message.matches:
             listing = slot_messages.SlotsListed(self._mailbox.own, message.pool)
             if current:
                 listing = self._claims.listing(self._mailbox.own, message.pool)
             self._mailbox.send(message.sender, listing)
 
-    def _claim_at(self, message) -> claims.Claim | None:
+    def _find_claim(self, message) -> claims.Claim | None:
         """Return a message's call if its sender is the one that serves it."""
         if self._routes.find(message.pool) != message.sender:
             return None
@@ -210,7 +220,7 @@
             self._mailbox.send(suspect, message)
 
 
-def _no_pool(model: str) -> exceptions.NotRunError:
+def _no_worker_error(model: str) -> exceptions.NotRunError:
     return exceptions.NotRunError(
         'no worker serves the model', step='find pool', peer=model
     )
