--- a/src/carobfork/storage/clients.py
+++ b/src/carobfork/storage/clients.py
@@ -1,8 +1,8 @@
-"""Clients: an entry host's view of the records, by quorum.
+"""Read and write turns and budgets on a quorum of store hosts.
 
-A turn is acknowledged when a quorum of store hosts has synced it, and a
-budget's charges are read from a quorum that any other one meets, so two
-entry hosts never both believe that the last tokens are theirs.
+A turn is acknowledged once a write quorum of store hosts has synced it. A
+budget's charges are read from a quorum that intersects every other quorum, so
+two entry hosts cannot both reserve a program's last tokens.
 """
 
 import zlib
@@ -18,19 +18,23 @@
 from carobfork.storage import groups, links, messages
 
 OPERATION_TIMEOUT_MS = 1200
-"""Longest wait: over the silence after which a link counts as gone."""
+"""Bound on one operation; exceeds the silence that marks a link as lost."""
 BEGIN_RETRY_WINDOW_MS = 400
-"""After a link's end or this host's start, until others are open or the group
-has changed; later a turn is refused at once, since it can go elsewhere."""
+"""Time after a disconnect, or after this host's start, in which a turn may
+wait for another link or a new group. Later a turn without a quorum is refused
+at once, because its caller can use another entry host."""
 RETRY_AFTER_MS = 300
-"""A lost connection is open again, or a group has changed, within this time."""
+"""Delay suggested to callers: a lost connection is usually open again, or the
+group has changed, within this time."""
 CHAIN_PART_TIMEOUT_MS = 300
-"""For a part of a chain: many round trips, and another member may have it."""
+"""Timeout of one chain part. It covers many round trips; a slower member is
+skipped, because another one may hold the part."""
 EPOCH_POLL_INTERVAL_MS = 50
-"""Between looks at whether the group has changed while answers are due."""
+"""How often a pending operation checks whether the group has changed."""
 MAX_SETTLE_TRIES = 4
 SETTLE_RETRY_INTERVAL_MS = 150
-"""Between tries: together with them below the time to settle a turn."""
+"""Delay between tries. All tries and delays together take less than the time
+allowed to settle a turn."""
 _STEP = 'storage'
 
 logger = structlog.get_logger(part='storage')
@@ -38,18 +42,19 @@
 
 @attrs.frozen
 class QuorumReplies:
-    """Answers of members by their disks."""
+    """Replies of a quorum, by the members' disks."""
 
     replies: dict[str, Any]
 
 
 class Client:
-    """Ask the storage group.
+    """A client of the storage group.
 
-    :param member_links: links to its hosts.
-    :param losses: disks that may be lost at a time.
-    :param node: the own host, which spreads hosts over members.
-    :param zone: the own failure domain, preferred for reads.
+    :param member_links: links to the group's store hosts.
+    :param losses: number of disks that may be lost at the same time.
+    :param node: this host's name; it seeds the order in which members are
+        preferred, so that entry hosts spread over the members.
+    :param zone: this host's failure domain, preferred for reads.
     :param timer: measures waits.
     """
 
@@ -61,7 +66,7 @@
         zone: str,
         timer: clock.Clock,
     ) -> None:
-        """Start without a group."""
+        """Create a client that knows no group yet."""
         self.group = groups.Group()
         self._links = member_links
         self._losses = losses
@@ -70,7 +75,7 @@
         self._timer = timer
 
     def apply(self, group: groups.Group) -> None:
-        """Take a group over, unless a newer one is known."""
+        """Adopt a group unless one at least as new is known."""
         if group.epoch <= self.group.epoch:
             return
         logger.info(
@@ -84,17 +89,19 @@
 
     @property
     def has_quorum(self) -> bool:
-        """Whether enough members can be asked now."""
+        """Whether the connected members form a write quorum."""
         quorum = groups.Quorum(self.group, self._losses)
         return quorum.is_write_quorum(self._links.connected_disks())
 
     def begin(self, message: messages.Begin) -> messages.Begun:
         """Reserve tokens and read a program's state.
 
-        Charges of all answers are merged; a settled one wins.
+        The charges of all replies are merged; a settled charge wins over a
+        reservation.
 
-        :raises NotRunError: too few members answered.
-        :raises UnknownProgramError: no member of a quorum knows the turn.
+        :raises NotRunError: if too few members reply.
+        :raises UnknownProgramError: if no member of the quorum knows the
+            previous turn.
         """
         nearest = self.nearest_disk()
         quorum_replies = self._run_operation(
@@ -111,9 +118,9 @@
         return attrs.evolve(merged, chain=self._complete_chain(merged))
 
     def finish(self, message: messages.Finish) -> None:
-        """Keep a turn and settle its attempt.
+        """Store a turn and settle its attempt.
 
-        :raises NotRunError: too few members have synced it.
+        :raises NotRunError: if too few members have synced the records.
         """
         self._run_operation(
             {disk: message for disk in self.group.all_members()},
@@ -122,9 +129,10 @@
         )
 
     def settle(self, message: messages.Finish) -> None:
-        """Settle an attempt, trying a few times.
+        """Settle an attempt, with a few retries.
 
-        What can't be settled stays charged with the most it could generate.
+        An attempt that can't be settled stays charged with the most tokens
+        that it could generate.
         """
         for _ in range(MAX_SETTLE_TRIES):
             try:
@@ -138,12 +146,20 @@
             gevent.sleep(clock.to_seconds(SETTLE_RETRY_INTERVAL_MS))
 
     def place(self, attempt: str, worker: str) -> None:
-        """Tell on which server a turn runs; nobody waits for the answer."""
+        """Tell all members which backend server a turn runs on.
+
+        Returns without waiting for replies.
+        """
         for link in self._links.all():
             link.send_request(messages.Place(attempt, worker), _ignore_reply)
 
     def nearest_disk(self) -> str:
-        """Return the disk to ask where one member's answer is enough."""
+        """Return the preferred disk for requests that need only one member.
+
+        Connected members are preferred over members that are still joining,
+        and the own failure domain over others. Returns an empty string if no
+        link is connected.
+        """
         usable = [link for link in self._links.all() if link.is_connected]
         usable = [
             link
@@ -155,16 +171,16 @@
         return min(disks, key=self._preference, default='')
 
     def _preference(self, disk: str) -> int:
-        """Return a disk's place in this host's own order."""
+        """Return a disk's position in this host's order of preference."""
         return zlib.crc32(disk.encode(), zlib.crc32(self._node.encode()))
 
     def _complete_chain(self, begun: messages.Begun) -> bytes:
-        """Return a whole chain, read from several members where need be.
+        """Return a whole chain, read from several members if necessary.
 
-        A member that was away lacks the turns of that time, so no single one
-        may hold them all.
+        A member lacks the turns that were written while it was down, so it
+        can be that no single member holds the whole chain.
 
-        :raises NotRunError: a turn is out of reach.
+        :raises NotRunError: if no reachable member holds one of the turns.
         """
         parts = [begun.chain]
         missing = begun.missing
@@ -172,7 +188,7 @@
             found = self._fetch_chain_part(missing)
             if found is None:
                 raise exceptions.NotRunError(
-                    f'turn {missing} is out of reach',
+                    f'no reachable store host holds turn {missing}',
                     step=_STEP,
                     retry_after_ms=RETRY_AFTER_MS,
                 )
@@ -181,7 +197,7 @@
         return b''.join(reversed(parts))
 
     def _fetch_chain_part(self, turn: str) -> messages.Begun | None:
-        """Return a turn and those before it from any member that has it."""
+        """Return a turn and its predecessors from any member that has it."""
         request = messages.Begin(None, previous=turn, wants_details=True)
         for link in self._links.all():
             reply = None
@@ -196,9 +212,14 @@
     def _run_operation(
         self, requests: dict[str, Any], is_read: bool, until_ms: float
     ) -> QuorumReplies:
-        """Send requests, again where the group or the links have changed.
+        """Send requests until a quorum replies.
 
-        :param until_ms: how long to wait for such a change.
+        The requests are sent again if the group or the links change.
+
+        :param requests: the request to each member, by disk.
+        :param is_read: whether a read quorum is needed as well.
+        :param until_ms: latest time to wait for such a change.
+        :raises NotRunError: if no quorum replies in time.
         """
         started_ms = self._timer.now_ms()
         while True:
@@ -222,7 +243,7 @@
             requests = _retarget(requests, self.group)
 
     def _wait_for_change(self, epoch: int, until_ms: float) -> bool:
-        """Tell whether a newer group or another link came in time."""
+        """Return whether a newer group or another link came up in time."""
         before = self._links.connected_disks()
         if self.group.epoch == epoch:
             self._links.probe()
@@ -237,7 +258,7 @@
     def _await_quorum(
         self, operation: '_Operation', epoch: int, until_ms: float
     ) -> bool:
-        """Tell whether enough members answered before the group changed."""
+        """Return whether a quorum replied before the group changed."""
         while not operation.wait(EPOCH_POLL_INTERVAL_MS):
             is_changed = self.group.epoch != epoch
             is_late = self._timer.now_ms() > until_ms
@@ -247,17 +268,17 @@
 
 
 def _retarget(requests: dict[str, Any], group: groups.Group) -> dict[str, Any]:
-    """Return the requests for the members of another group."""
+    """Return the requests addressed to the members of another group."""
     sample = next(iter(requests.values()), None)
     return {disk: requests.get(disk, sample) for disk in group.all_members()}
 
 
 def _ignore_reply(_reply: Any) -> None:
-    """Take an answer that says no more than that it came."""
+    """Discard a reply that carries no information."""
 
 
 class _Operation:
-    """One request to all members, until a quorum has answered."""
+    """One request to all members, pending until a quorum has replied."""
 
     def __init__(self, group: groups.Group, losses: int, is_read: bool) -> None:
         self.replies: dict[str, Any] = {}
@@ -280,9 +301,11 @@
                 link.send_request(request, self._reply_callback(disk))
 
     def wait(self, span_ms: float) -> bool:
-        """Wait for answers; tell whether they are enough.
+        """Wait for replies and return whether they form a quorum.
+
+        Returns early if a quorum can't be reached any more.
 
-        Ends early where they can't become enough.
+        :param span_ms: longest wait for each reply.
         """
         while not self._has_quorum():
             if self.cannot_succeed():
@@ -296,11 +319,11 @@
         return True
 
     def cannot_succeed(self) -> bool:
-        """Tell whether too many members failed or know a newer group."""
+        """Return whether too many members failed or one has a newer group."""
         return self._is_outdated or self._quorum.is_lost(self._failed)
 
     def describe(self) -> str:
-        """Return who answered what."""
+        """Return a summary of the replies for an error message."""
         reasons = {
             disk: refused.reason for disk, refused in self.refused.items()
         }
@@ -326,7 +349,10 @@
             self.replies[disk] = reply
 
     def _handle_refusal(self, disk: str, refused: messages.Refused) -> None:
-        """Ask a member again that did not know the group; else give it up."""
+        """Retry once with a member that was behind; otherwise count a failure.
+
+        A member that is behind is sent the group first.
+        """
         is_first = disk not in self.refused
         self.refused[disk] = refused
         if refused.reason == 'behind' and is_first:
@@ -339,7 +365,7 @@
 
 
 def _merge_replies(replies: Iterable[messages.Begun]) -> messages.Begun:
-    """Return what all members know; the longest chain stands."""
+    """Merge the replies of all members; the longest chain is kept."""
     charges: dict[str, tuple[int, bool]] = {}
     knows_previous = False
     open_turns = None
@@ -352,7 +378,7 @@
         updates = {
             attempt: charge
             for attempt, charge in begun.charges.items()
-            # Settled charges are final; a reservation may be outdated.
+            # A settled charge is final; a reservation may be outdated.
             if charge[1] or attempt not in charges
         }
         charges.update(updates)
--- a/src/carobfork/storage/disks.py
+++ b/src/carobfork/storage/disks.py
@@ -1,7 +1,7 @@
-"""Disks: records written in batches, and what a disk says of itself.
+"""Store records, the disk's identity and snapshots in one directory.
 
-All records that arrive while the disk is busy go out with one write and one
-sync. Answers are made after the whole batch is indexed, so each of two
+All records that arrive while the disk is busy are written as one batch with
+one sync. Replies are built after the whole batch is indexed, so each of two
 requests in one batch sees the other's charge.
 """
 
@@ -29,9 +29,12 @@
 
 @attrs.frozen
 class Identity:
-    """What a disk says of itself.
+    """The identity of a disk's contents and their state.
 
-    :param is_complete: whether it holds all that its group acknowledged.
+    :param disk: random identifier of the disk's contents.
+    :param is_complete: whether the disk holds all records that its group has
+        acknowledged.
+    :param group: the newest known group.
     """
 
     disk: str
@@ -41,10 +44,10 @@
 
 @attrs.frozen
 class Submission:
-    """Records that wait for the disk, and what follows.
+    """Records to write, and what to call afterwards.
 
     :param on_synced: called when the records are synced and indexed.
-    :param on_failed: called where the disk refused them.
+    :param on_failed: called when the write failed.
     """
 
     records: list[record_indexes.Record]
@@ -53,14 +56,14 @@
 
 
 class Disk:
-    """Keep records in one directory.
+    """The records, identity and snapshots in one directory.
 
-    :param folder: the directory.
-    :param timer: the time of day.
+    :param folder: the directory; it is created if necessary.
+    :param timer: the wall clock.
     """
 
     def __init__(self, folder: pathlib.Path, timer: clock.Clock) -> None:
-        """Open the directory and read what it holds."""
+        """Open the directory and read its contents."""
         self._folder = folder
         self.identity = _load_identity(folder)
         self._files = segments.Segments(folder)
@@ -78,14 +81,14 @@
         )
 
     def save_identity(self, identity: Identity) -> None:
-        """Replace what the disk says of itself, permanently."""
+        """Replace the disk's identity durably."""
         segments.write_file(
             self._folder / _IDENTITY_FILE, msgspec.msgpack.encode(identity)
         )
         self.identity = identity
 
     def save_completeness(self, is_complete: bool) -> None:
-        """Note whether the disk holds all that it should, permanently."""
+        """Store durably whether the disk holds all acknowledged records."""
         if self.identity.is_complete != is_complete:
             logger.info('copy complete' if is_complete else 'copy begun')
             self.save_identity(
@@ -93,14 +96,14 @@
             )
 
     def save_snapshots(self) -> None:
-        """Keep what was learnt of the platform, for hosts that start."""
+        """Store the platform's snapshots for hosts that start later."""
         segments.write_file(
             self._folder / _SNAPSHOTS_FILE,
             msgspec.msgpack.encode(self.snapshots.snapshots),
         )
 
     def submit(self, submission: Submission) -> None:
-        """Write records, if there are any, and answer then."""
+        """Queue records for writing; without records, reply at once."""
         if submission.records:
             self._pending.append(submission)
             self._has_pending.set()
@@ -110,13 +113,13 @@
     def read(
         self, entry: segments.RecordLocation | record_indexes.Record
     ) -> bytes:
-        """Return an entry of the ledger's dump as a record's bytes."""
+        """Return the encoded record of an entry of the index's dump."""
         if isinstance(entry, segments.RecordLocation):
             return self._files.read(entry)
         return record_indexes.encode_record(entry)
 
     def run(self) -> None:
-        """Write what arrives, until the greenlet is killed."""
+        """Write submissions until the greenlet is killed."""
         while True:
             self._has_pending.wait()
             self._has_pending.clear()
@@ -125,7 +128,7 @@
             self._commit(batch)
 
     def run_expiry(self) -> None:
-        """Remove what is past its time, until the greenlet is killed."""
+        """Remove expired segments until the greenlet is killed."""
         while True:
             gevent.sleep(clock.to_seconds(EXPIRY_INTERVAL_MS))
             for segment in self.index.expire():
@@ -171,7 +174,7 @@
 
 
 def _load_identity(folder: pathlib.Path) -> Identity:
-    """Return the disk's identity; a new disk gets a new one."""
+    """Return the disk's identity; an empty directory gets a new one."""
     path = folder / _IDENTITY_FILE
     if path.exists():
         return msgspec.msgpack.decode(path.read_bytes(), type=Identity)
--- a/src/carobfork/storage/groups.py
+++ b/src/carobfork/storage/groups.py
@@ -1,9 +1,9 @@
-"""Groups: which store hosts keep the records, and how many must answer.
+"""Define which store hosts keep the records, and how many must reply.
 
-The group's specification lives in the platform's store and changes by
-conditional writes only. While it changes, an operation needs a quorum of the
-members before and one of the members after, so no acknowledged record is
-missed whichever of the two a host knows.
+The group's specification is in the platform's store and changes only by
+conditional writes. During a change, an operation needs a quorum of the old
+members and one of the new members, so no acknowledged record is missed by a
+host that knows only one of the two sets.
 """
 
 import attrs
@@ -13,7 +13,9 @@
 class Member:
     """One store host with one disk.
 
-    :param disk: identifies the disk's contents; a wiped disk gets another.
+    :param node: the host's name.
+    :param disk: identifies the disk's contents; a wiped disk gets a new one.
+    :param zone: the host's failure domain.
     """
 
     node: str
@@ -25,13 +27,13 @@
 
 @attrs.frozen
 class Group:
-    """The hosts that keep all records.
+    """The store hosts that keep all records.
 
-    :param epoch: grows with each change.
-    :param members: hosts that hold all that was acknowledged before.
-    :param following: the members after the change under way, if any.
+    :param epoch: increases with each change.
+    :param members: the current members.
+    :param following: the members after the change in progress, if any.
     :param driver: the disk of the host that carries out that change.
-    :param leaving: nodes that are to be emptied.
+    :param leaving: nodes whose members are retiring.
     """
 
     epoch: int = 0
@@ -41,13 +43,13 @@
     leaving: tuple[str, ...] = ()
 
     def all_members(self) -> dict[str, Member]:
-        """Return old and new members by their disks."""
+        """Return old and new members, by disk."""
         return {
             member.disk: member for member in (*self.members, *self.following)
         }
 
     def member_on_node(self, node: str) -> Member | None:
-        """Return the member on a node, if any."""
+        """Return the current member on a node, if any."""
         for member in self.members:
             if member.node == node:
                 return member
@@ -56,9 +58,9 @@
     def start_join(
         self, joiner: Member, replaced: Member | None = None
     ) -> 'Group':
-        """Return this group with a host that begins to take part.
+        """Return this group with the start of a change that adds a host.
 
-        :param replaced: the member that it takes the place of.
+        :param replaced: the member that the host replaces, if any.
         """
         stays = tuple(member for member in self.members if member != replaced)
         return attrs.evolve(
@@ -69,7 +71,7 @@
         )
 
     def start_shrink(self, leaver: Member) -> 'Group':
-        """Return this group as it begins to do without a member."""
+        """Return this group with the start of a change that removes a host."""
         return attrs.evolve(
             self,
             epoch=self.epoch + 1,
@@ -80,7 +82,7 @@
         )
 
     def complete_change(self) -> 'Group':
-        """Return this group with its change done."""
+        """Return this group after its change."""
         nodes = {member.node for member in self.following}
         return attrs.evolve(
             self,
@@ -92,51 +94,52 @@
         )
 
     def cancel_change(self) -> 'Group':
-        """Return this group with its change given up."""
+        """Return this group without its change."""
         return attrs.evolve(self, epoch=self.epoch + 1, following=(), driver='')
 
     def request_leave(self, node: str) -> 'Group':
-        """Return this group as it asks for a member's replacement."""
+        """Return this group with a request to replace a node's member."""
         return attrs.evolve(
             self, epoch=self.epoch + 1, leaving=(*self.leaving, node)
         )
 
     def has_member_disk(self, disk: str) -> bool:
-        """Tell whether a disk belongs to a member before the change."""
+        """Return whether a disk belongs to a current member."""
         return any(member.disk == disk for member in self.members)
 
 
 def write_quorum(count: int, losses: int) -> int:
     """Return how many of ``count`` members must have synced a record.
 
-    :param losses: disks that may be lost at a time.
+    :param losses: number of disks that may be lost at the same time.
     """
     return max(losses + 1, count // 2 + 1)
 
 
 def read_quorum(count: int, losses: int) -> int:
-    """Return how many members hold each acknowledged record among them."""
+    """Return how many members together hold every acknowledged record."""
     return max(0, count - write_quorum(count, losses) + 1)
 
 
 def target_size(losses: int) -> int:
-    """Return the size at which a group goes on after its losses."""
+    """Return the size at which a group keeps a quorum after its losses."""
     return 2 * losses + 1
 
 
 @attrs.frozen
 class Quorum:
-    """Judge whether enough members answered.
+    """The quorum rules of a group.
 
-    :param group: the group that was asked.
-    :param losses: disks that may be lost at a time.
+    During a change, each rule has to hold for the old and the new members.
+
+    :param losses: number of disks that may be lost at the same time.
     """
 
     group: Group
     losses: int
 
     def is_write_quorum(self, disks: set[str]) -> bool:
-        """Tell whether these disks make a record permanent."""
+        """Return whether a record is durable once these disks have it."""
         return all(
             _count_members(members, disks)
             >= write_quorum(len(members), self.losses)
@@ -144,7 +147,7 @@
         )
 
     def is_read_quorum(self, disks: set[str]) -> bool:
-        """Tell whether these disks hold each acknowledged record."""
+        """Return whether these disks include each acknowledged record."""
         return all(
             _count_members(members, disks)
             >= read_quorum(len(members), self.losses)
@@ -152,7 +155,7 @@
         )
 
     def is_lost(self, failed: set[str]) -> bool:
-        """Tell whether a write can't succeed any more."""
+        """Return whether a write can't succeed after these failures."""
         return any(
             len(members) - _count_members(members, failed)
             < write_quorum(len(members), self.losses)
@@ -172,10 +175,11 @@
 def plan_join(
     group: Group, node: str, lost_disks: set[str], losses: int
 ) -> tuple[bool, Member | None]:
-    """Tell whether a host outside may join, and whom it replaces.
+    """Return whether a host outside the group may join, and whom it replaces.
 
-    :param node: the host that asks.
-    :param lost_disks: members that don't answer.
+    A host whose node is still a member has a new disk and replaces that member.
+    :param node: the host that wants to join.
+    :param lost_disks: disks of members that don't reply.
     """
     previous_member = group.member_on_node(node)
     if previous_member is not None:
--- a/src/carobfork/storage/links.py
+++ b/src/carobfork/storage/links.py
@@ -1,8 +1,8 @@
-"""Links: one connection to each store host, shared by all requests.
+"""Keep one connection to each store host, shared by all requests.
 
-A link sends a beat a few times a second. A peer that answers none for a
-while counts as gone and its connection is reset: after a partition a
-connection may stay silent for good while new ones work.
+A link sends a heartbeat a few times a second. A peer that answers none for a
+while is considered lost and its connection is closed: after a partition, an
+old connection may stay silent for good while new ones work.
 """
 
 import collections
@@ -23,21 +23,26 @@
 from carobfork.storage import groups, messages
 
 CONNECT_TIMEOUT_MS = 500
-"""Several round trips between failure domains, with room for a lost packet."""
+"""Covers several round trips between failure domains and one lost packet."""
 HEARTBEAT_INTERVAL_MS = 250
-"""Of links that carry news: a dead peer shows within a few beats."""
+"""Interval on links that carry status reports; a dead peer is detected within
+a few heartbeats."""
 BUSY_HEARTBEAT_INTERVAL_MS = 100
-"""Of links that carry news while calls wait: less than half a short turn."""
+"""Interval on those links while calls wait; less than half of a short turn."""
 IDLE_HEARTBEAT_INTERVAL_MS = 1000
-"""Of other links: a beat at the end of another link shows a loss earlier."""
+"""Interval on all other links. It can be long, because the disconnect of any
+link probes the others at once and so detects a loss earlier."""
 SILENCE_TIMEOUT_MS = 650
-"""Beyond the next beat: two more beats without an answer."""
+"""Silence tolerated after the next heartbeat is due: two more heartbeats
+without an answer."""
 PROBE_TIMEOUT_MS = 400
-"""A peer that answers a probe no sooner is gone: many round trips."""
+"""A peer that does not answer a probe within this time is lost; it covers many
+round trips."""
 RECONNECT_INTERVAL_MS = 150
 OPENING_POLL_INTERVAL_MS = 5
 TCP_USER_TIMEOUT_MS = 1000
-"""For unacknowledged bytes in the kernel, in case no beat is waiting."""
+"""Kernel timeout for unacknowledged bytes, for the case that no heartbeat is
+pending."""
 _READ_BYTES = 262_144
 
 logger = structlog.get_logger(part='links')
@@ -51,11 +56,11 @@
 
 @attrs.frozen
 class Heartbeats:
-    """What links send regularly.
+    """The heartbeats that links send.
 
-    :param compose: returns the message to a member.
-    :param take: takes a member and its answer.
-    :param interval_ms: returns the time until the next beat to a member.
+    :param compose: returns the message for a member.
+    :param on_reply: called with a member and its reply.
+    :param interval_ms: returns the time until a member's next heartbeat.
     """
 
     compose: Callable[[groups.Member], Any]
@@ -63,18 +68,18 @@
     interval_ms: Callable[[groups.Member], float] = _default_interval_ms
 
     def handle_reply(self, member: groups.Member, reply: Any) -> None:
-        """Take an answer, if there is one."""
+        """Pass a reply on, unless the connection failed."""
         if reply is not None:
             self.on_reply(member, reply)
 
 
 class Link:
-    """Requests to one store host, as a context manager.
+    """A reconnecting connection to one store host, as a context manager.
 
-    :param member: the host.
-    :param timer: measures silences.
-    :param heartbeats: what is sent regularly.
-    :param on_disconnect: called when the connection has ended.
+    :param member: the store host.
+    :param timer: measures silence.
+    :param heartbeats: sent while the connection is open.
+    :param on_disconnect: called each time that an open connection has ended.
     """
 
     def __init__(
@@ -84,7 +89,7 @@
         heartbeats: Heartbeats,
         on_disconnect: Callable[[], None],
     ) -> None:
-        """Prepare the link; entering it connects."""
+        """Create the link; entering it connects."""
         self.member = member
         self.epoch = 0
         self.last_received_ms = timer.now_ms()
@@ -101,7 +106,7 @@
         self._runner: gevent.Greenlet | None = None
 
     def __enter__(self) -> 'Link':
-        """Start to connect."""
+        """Start connecting in the background."""
         self._runner = gevent.spawn(self._run)
         return self
 
@@ -111,19 +116,19 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Close the connection; what waits gets no answer."""
+        """Close the connection; pending requests get no reply."""
         if self._runner is not None:
             self._runner.kill(block=False)
 
     def silent_ms(self) -> float:
-        """Return for how long nothing was heard."""
+        """Return how long ago the last bytes were received."""
         return self._timer.now_ms() - self.last_received_ms
 
     def send_request(self, message: Any, on_reply: ReplyCallback) -> None:
-        """Send a request.
+        """Send a request without waiting for the reply.
 
-        :param on_reply: called once, with the answer, or with nothing where
-            the connection fails.
+        :param on_reply: called once, with the reply, or with ``None`` if the
+            connection is closed or fails.
         """
         if not self.is_connected:
             on_reply(None)
@@ -135,14 +140,14 @@
         self._has_outgoing.set()
 
     def probe(self) -> None:
-        """Send the next beat now; end the link where nothing answers it."""
+        """Send a heartbeat now and disconnect if nothing answers it."""
         if self.is_connected:
             self._probe_requested.set()
 
     def request(self, message: Any, timeout_ms: float) -> Any:
-        """Send a request and return its answer.
+        """Send a request and return its reply.
 
-        :raises ConnectionFailedError: none came in time.
+        :raises ConnectionFailedError: if no reply arrives in time.
         """
         inbox: queue.Queue = queue.Queue()
         self.send_request(message, inbox.put)
@@ -153,7 +158,10 @@
             logger.info('no answer in time', peer=self.member.node)
         if reply is None:
             raise exceptions.ConnectionFailedError(
-                'no answer', sent=True, step='request', peer=self.member.node
+                f'no answer to {type(message).__name__}',
+                sent=True,
+                step='request',
+                peer=self.member.node,
             )
         return reply
 
@@ -236,7 +244,7 @@
             try:
                 sock.sendall(batch)
             except OSError:
-                # The reader reports the failure and ends the link.
+                # The reader reports the failure and disconnects.
                 sock.close()
                 return
 
@@ -259,12 +267,12 @@
 
     def _close_if_silent(self, sock: socket.socket) -> None:
         if self.silent_ms() >= PROBE_TIMEOUT_MS:
-            # The reader meets the closed connection and ends the link.
+            # The reader fails on the closed connection and disconnects.
             sock.close()
 
 
 def configure_socket(sock: socket.socket) -> None:
-    """Set what every connection between hosts needs."""
+    """Set the options of every connection between hosts."""
     sock.setsockopt(sockets.IPPROTO_TCP, sockets.TCP_NODELAY, 1)
     sock.setsockopt(
         sockets.IPPROTO_TCP, sockets.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS
@@ -272,10 +280,11 @@
 
 
 def request_once(address: tuple[str, int], message: Any) -> Any:
-    """Ask a host on a connection of its own.
+    """Send a request on a separate connection and return its reply.
 
-    :raises OSError: it can't be reached or does not answer in time.
-    :raises BadRequestError: its answer is malformed.
+    :param address: the host's IP address and port.
+    :raises OSError: if the host can't be reached or does not reply in time.
+    :raises BadRequestError: if the reply is malformed.
     """
     timeout_seconds = clock.to_seconds(CONNECT_TIMEOUT_MS)
     sock = socket.create_connection(address, timeout=timeout_seconds)
@@ -286,31 +295,35 @@
         while not frames:
             received = sock.recv(_READ_BYTES)
             if not received:
-                raise ConnectionResetError('the host closed the connection')
+                raise ConnectionResetError(
+                    f'{address} closed the connection before its reply'
+                )
             buffered.extend(received)
             frames = messages.pop_frames(buffered)
     return messages.decode(frames[0]).message
 
 
 class Links:
-    """Links to the members of a group, opened and closed as it changes.
+    """The links to the members of a group, opened and closed as it changes.
 
-    :param timer: measures silences.
-    :param heartbeats: what is sent regularly.
+    :ivar last_disconnect_ms: when a link last disconnected, initially the
+        time of creation.
+    :param timer: measures silence.
+    :param heartbeats: sent on each link.
     """
 
     def __init__(self, timer: clock.Clock, heartbeats: Heartbeats) -> None:
-        """Start without links.
-
-        :ivar changed_ms: when the last link ended, or at the start.
-        """
+        """Create the set without links."""
         self._timer = timer
         self.last_disconnect_ms = timer.now_ms()
         self._heartbeats = heartbeats
         self._links: dict[str, Link] = {}
 
     def apply(self, group: groups.Group, own_disk: str = '') -> None:
-        """Keep links to the group's hosts, apart from the own one."""
+        """Open and close links so that they match a group.
+
+        :param own_disk: this host's disk, which gets no link.
+        """
         wanted = group.all_members()
         wanted.pop(own_disk, None)
         for disk in self._links.keys() - wanted.keys():
@@ -321,12 +334,12 @@
             self._links[disk].epoch = group.epoch
 
     def wait_for_opening(self) -> None:
-        """Wait until the first attempt of each link to connect is over."""
+        """Wait until each link has connected or failed to once."""
         while any(link.is_opening for link in self._links.values()):
             gevent.sleep(clock.to_seconds(OPENING_POLL_INTERVAL_MS))
 
     def get(self, disk: str) -> Link | None:
-        """Return the link to a disk's host, if there is one."""
+        """Return the link to a disk's host, if any."""
         return self._links.get(disk)
 
     def all(self) -> list[Link]:
@@ -334,7 +347,10 @@
         return list(self._links.values())
 
     def silent_disks(self, span_ms: float) -> set[str]:
-        """Return the disks whose hosts were silent for a span."""
+        """Return the disks whose hosts have been silent for longer.
+
+        :param span_ms: the tolerated silence.
+        """
         return {
             disk
             for disk, link in self._links.items()
@@ -342,11 +358,11 @@
         }
 
     def connected_disks(self) -> set[str]:
-        """Return the disks whose hosts can be asked now."""
+        """Return the disks whose hosts are connected."""
         return {disk for disk, link in self._links.items() if link.is_connected}
 
     def probe(self) -> None:
-        """Ask all hosts for news, and whether they are still there."""
+        """Probe all connected hosts, which also refreshes their news."""
         for link in self.all():
             link.probe()
 
@@ -360,6 +376,6 @@
         ).__enter__()
 
     def _handle_disconnect(self) -> None:
-        """Look at once whether other links have ended, too."""
+        """Probe the other links, because they may have failed too."""
         self.last_disconnect_ms = self._timer.now_ms()
         self.probe()
--- a/src/carobfork/storage/listeners.py
+++ b/src/carobfork/storage/listeners.py
@@ -1,4 +1,4 @@
-"""Listeners: the store host's end of the links."""
+"""Accept the links of entry hosts and other store hosts."""
 
 import contextlib
 import socket as sockets
@@ -12,28 +12,28 @@
 
 _READ_BYTES = 262_144
 WRITE_TIMEOUT_SECONDS = 5
-"""A peer that reads nothing for so long has lost the connection."""
+"""A peer that reads nothing for so long is considered lost."""
 
 logger = structlog.get_logger(part='listener')
 
 
 class Listener:
-    """Serve a keeper to entry hosts and other store hosts.
+    """A server that passes requests of other hosts to a replica.
 
-    :param address: where to listen.
-    :param replica: carries the requests out.
+    :param address: IP address and port to listen on.
+    :param replica: handles the requests.
     """
 
     def __init__(
         self, address: tuple[str, int], replica: replicas.Replica
     ) -> None:
-        """Prepare the listener."""
+        """Create the listener; it does not listen yet."""
         self._replica = replica
         self._server = server.StreamServer(address, self._serve)
         self._open_sockets: set[socket.socket] = set()
 
     def start(self) -> None:
-        """Begin to listen."""
+        """Start listening."""
         self._server.start()
 
     def stop(self) -> None:
@@ -72,7 +72,7 @@
 
 
 class _ReplyWriter:
-    """Answers of one connection, in the order in which they are ready."""
+    """Write the replies of one connection in the order of their completion."""
 
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
@@ -81,7 +81,10 @@
         self._is_closed = False
 
     def reply_callback(self, number: int):
-        """Return what sends the answer to a request."""
+        """Return a callback that sends the reply to a request.
+
+        :param number: the request's number on this connection.
+        """
 
         def reply(message) -> None:  # noqa: WPS430
             envelope = messages.Envelope(number, 0, message)
@@ -92,7 +95,7 @@
         return reply
 
     def close(self) -> None:
-        """Send nothing more."""
+        """Stop writing; replies that are still pending are dropped."""
         self._is_closed = True
         if self._writer is not None:
             self._writer.kill(block=False)
--- a/src/carobfork/storage/memberships.py
+++ b/src/carobfork/storage/memberships.py
@@ -1,9 +1,9 @@
-"""Memberships: how a store host joins its group, and leaves it.
+"""Let a store host join the storage group, and leave it.
 
-A host outside the group takes the place of a member whose disk was lost,
-that is silent, or that is to be emptied. It first announces itself by a
-conditional write, then copies all records from a read quorum of members
-that know of the change, and only then counts as a member.
+A host outside the group replaces a member whose disk was lost, that is
+silent, or that is retiring. It first announces the change by a conditional
+write, then copies all records from a read quorum of members that know of the
+change, and only then becomes a member.
 """
 
 from collections.abc import Callable, Iterator
@@ -16,44 +16,48 @@
 from carobfork.storage import groups, links, messages, replicas
 
 STEP_INTERVAL_MS = 200
-"""Between looks at the group: well under the time to be complete again."""
+"""Interval between steps: much shorter than the time allowed for the group to
+be complete again."""
 MEMBER_TIMEOUT_MS = 1500
-"""A member silent for so long may be replaced where a host is free."""
+"""Silence after which a member may be replaced by a spare host."""
 DRIVER_TIMEOUT_MS = 2500
-"""A change whose driver is silent for so long is given up."""
+"""Silence of the driver after which its change is cancelled."""
 FETCH_TIMEOUT_MS = 1500
 ADOPT_TIMEOUT_MS = 700
 SHRINK_DELAY_MS = 3000
-"""How long a member to be emptied waits for a free host."""
+"""How long a retiring member waits for a spare host."""
 
 logger = structlog.get_logger(part='membership')
 
 
 class GroupRegister(Protocol):
-    """Where the group's specification lives."""
+    """The group's specification in the platform's store."""
 
     def current(self) -> tuple[groups.Group | None, int]:
-        """Return the group and its revision, as last seen."""
+        """Return the last known group and its revision."""
 
     def write(self, group: groups.Group, revision: int) -> None:
-        """Replace the group of a revision; 0 creates it.
+        """Replace the group if it still has a revision.
 
-        :raises PlatformError: it was not written, or nobody knows.
+        :param revision: the expected revision; 0 creates the group.
+        :raises PlatformError: if it was not written, or the outcome is
+            unknown.
         """
 
     def is_known(self) -> bool:
-        """Tell whether the platform's store was read since the start."""
+        """Return whether the platform's store was read since the start."""
 
 
 class Membership:
-    """Carry one store host through its group.
+    """One store host's membership of the storage group.
 
     :param own_member: this host.
     :param replica: its records.
     :param register: the group's specification.
-    :param member_links: links to the members.
-    :param losses: disks that may be lost at a time.
-    :param is_retiring: tells whether this host is to be emptied.
+    :param member_links: links to the other members.
+    :param losses: number of disks that may be lost at the same time.
+    :param is_retiring: returns whether this host is to hand over its records
+        and leave.
     """
 
     def __init__(
@@ -65,7 +69,7 @@
         losses: int,
         is_retiring: Callable[[], bool],
     ) -> None:
-        """Start outside the group."""
+        """Create the membership; steps determine whether it is a member."""
         self._own_member = own_member
         self._replica = replica
         self._register = register
@@ -77,12 +81,12 @@
 
     @property
     def disk(self) -> str:
-        """The own disk."""
+        """The identifier of this host's disk."""
         return self._own_member.disk
 
     @property
     def is_outside(self) -> bool:
-        """Whether the group is known and does without this host."""
+        """Whether the group is known and does not include this host."""
         group, _revision = self._register.current()
         return (
             group is not None
@@ -99,7 +103,10 @@
             gevent.sleep(clock.to_seconds(STEP_INTERVAL_MS))
 
     def step(self) -> None:
-        """Do what the group needs next from this host."""
+        """Take the next step that the group needs from this host.
+
+        :raises PlatformError: if a change could not be written.
+        """
         group, revision = self._register.current()
         if not self._register.is_known():
             return
@@ -161,7 +168,7 @@
         if group.driver != self._own_member.disk:
             driver = self._links.get(group.driver)
             if driver is None or driver.silent_ms() > DRIVER_TIMEOUT_MS:
-                logger.info('giving a change up', epoch=group.epoch)
+                logger.info('cancelling a change', epoch=group.epoch)
                 self._register.write(group.cancel_change(), revision)
             return
         if group.has_member_disk(self._own_member.disk):
@@ -172,7 +179,7 @@
             self._register.write(group.complete_change(), revision)
 
     def _copy_records(self, group: groups.Group) -> bool:
-        """Copy all records here; tell whether enough members gave theirs."""
+        """Copy all records here; return whether a read quorum sent them."""
         sources = self._announce_change(group)
         done: set[str] = set()
         for link in sources:
@@ -196,7 +203,7 @@
         return True
 
     def _announce_change(self, group: groups.Group) -> list[links.Link]:
-        """Return links to the old members that know of the change."""
+        """Send the change to the old members; return links to those reached."""
         reached = []
         for member in group.members:
             link = self._links.get(member.disk)
@@ -211,7 +218,10 @@
         return reached
 
     def _transfer_records(self, group: groups.Group) -> bool:
-        """Give all records to those who stay; tell whether all have them."""
+        """Send all records to the remaining members.
+
+        :return: whether each of them holds all records now.
+        """
         reached = {link.member.disk for link in self._announce_change(group)}
         remaining = {member.disk for member in group.following}
         if not remaining <= reached:
@@ -219,7 +229,7 @@
         return all(self._send_all_records(disk, reached) for disk in remaining)
 
     def _send_all_records(self, disk: str, sources: set[str]) -> bool:
-        """Give one member the records of this host and of the others."""
+        """Send one member the records of this host and of other sources."""
         target = self._links.get(disk)
         if not _send_records(target, self._read_own_records()):
             return False
@@ -246,7 +256,10 @@
 
 
 def _read_pages(link: links.Link) -> Iterator[list[bytes] | None]:
-    """Yield a member's records; nothing, where it fails or lacks some."""
+    """Yield pages of a member's records.
+
+    Yields ``None`` and ends if the member fails or does not hold all records.
+    """
     position = 0
     listing = 0
     while True:
@@ -259,7 +272,7 @@
             yield None
             return
         if not getattr(page, 'is_complete', False):
-            logger.info('member holds not all', peer=link.member.node)
+            logger.info('member is incomplete', peer=link.member.node)
             yield None
             return
         yield page.records
@@ -277,6 +290,6 @@
         try:
             target.request(messages.Give(batch), FETCH_TIMEOUT_MS)
         except exceptions.ConnectionFailedError as error:
-            logger.info('records not given', reason=str(error))
+            logger.info('records not sent', reason=str(error))
             return False
     return True
--- a/src/carobfork/storage/messages.py
+++ b/src/carobfork/storage/messages.py
@@ -1,7 +1,7 @@
-"""Messages between hosts about records, and their frames.
+"""Define the messages between hosts and store hosts, and their frames.
 
-Message classes fill a registry by decorator; a class's name is its tag on
-the wire.
+Message classes register themselves with a decorator; a class's name is its tag
+on the wire and on disk.
 """
 
 import struct
@@ -14,9 +14,11 @@
 from carobfork.storage import groups, snapshots
 
 MAX_FRAME_BYTES = 16_777_216
-"""Longest frame: a page of records with the largest body of a request."""
+"""Longest accepted frame: it fits a page of records that includes the largest
+request body."""
 MAX_GIVE_RECORDS = 64
-"""Records of one hand-over: with the largest bodies, below a frame."""
+"""Most records in one ``Give`` message: even with the largest bodies they fit a
+frame."""
 _LENGTH_PREFIX = struct.Struct('>I')
 MESSAGE_TYPES: dict[str, type] = {}  # noqa: WPS407
 
@@ -25,7 +27,7 @@
 
 
 def register(message_type: type[Message]) -> type[Message]:
-    """Register a message class."""
+    """Register a message class under its name."""
     MESSAGE_TYPES[message_type.__name__] = message_type
     return message_type
 
@@ -33,7 +35,13 @@
 @register
 @attrs.frozen
 class Turn:
-    """What is kept of a turn that ended whole."""
+    """A complete turn as it is stored.
+
+    :param attempt: the attempt that ran it, which also names the turn.
+    :param previous: the turn that it continues, if any.
+    :param request: the body of the request.
+    :param events: the output of the backend server.
+    """
 
     attempt: str
     previous: str
@@ -44,10 +52,10 @@
 @register
 @attrs.frozen
 class Charge:
-    """Tokens that one attempt counts for in its program's budget.
+    """The tokens that one attempt takes from its program's budget.
 
-    :param is_settled: whether the attempt has ended; before that the tokens
-        are the most that it may generate.
+    :param is_settled: whether the attempt has ended; before that, the tokens
+        are the most that it can generate.
     """
 
     program: str
@@ -60,9 +68,10 @@
 @register
 @attrs.frozen
 class Begin:
-    """Reserve tokens for an attempt and read what it depends on.
+    """Reserve tokens for an attempt and read the state that it depends on.
 
-    :param wants_details: whether the answer should hold the chain's bytes
+    :param previous: the turn that it continues, if any.
+    :param wants_details: whether the reply should contain the chain's bytes
         and the open turns.
     :param worker: the backend server that it will probably run on.
     """
@@ -77,7 +86,7 @@
 @register
 @attrs.frozen
 class Place:
-    """An attempt runs on another backend server than was said before."""
+    """An attempt runs on another backend server than announced before."""
 
     attempt: str
     worker: str
@@ -86,12 +95,14 @@
 @register
 @attrs.frozen
 class Begun:
-    """What a member knows of a program.
-
-    :param charges: tokens by attempt, and whether they are settled.
-    :param chain: the bytes of the turns before, oldest first.
-    :param missing: the turn before those of the chain, if it is not here.
-    :param open_turns: turns under way by backend server, if it was asked.
+    """A member's state of a program.
+
+    :param charges: tokens and whether they are settled, by attempt.
+    :param knows_previous: whether the member holds the previous turn.
+    :param chain: the bytes of the previous turns, oldest first.
+    :param missing: the turn before those of the chain, if the member does not
+        hold it.
+    :param open_turns: open turns by backend server, if details were requested.
     """
 
     charges: dict[str, tuple[int, bool]]
@@ -104,7 +115,7 @@
 @register
 @attrs.frozen
 class Finish:
-    """Settle an attempt and keep its turn, if there is one."""
+    """Settle an attempt and store its turn, if there is one."""
 
     charge: Charge | None
     turn: Turn | None = None
@@ -114,13 +125,13 @@
 @register
 @attrs.frozen
 class Done:
-    """A request was carried out and synced."""
+    """A request was carried out and its records are synced."""
 
 
 @register
 @attrs.frozen
 class Adopt:
-    """Take over a group that is newer than the one known."""
+    """Adopt a group if it is newer than the known one."""
 
     group: groups.Group
 
@@ -128,9 +139,9 @@
 @register
 @attrs.frozen
 class Recall:
-    """Ask for what a host knows of the platform.
+    """Request the platform's state from a store host.
 
-    :param revisions: what the asker knows, by kind.
+    :param revisions: the revisions that the sender knows, by kind.
     """
 
     revisions: dict[str, int] = attrs.Factory(dict)
@@ -139,9 +150,10 @@
 @register
 @attrs.frozen
 class Recalled:
-    """The group, and what the asker lacks of other kinds.
+    """The group, and the deltas that the receiver lacks.
 
-    :param since_outage_ms: since the platform was last out of reach.
+    :param changes: deltas by kind.
+    :param since_outage_ms: time since the platform was last unreachable.
     """
 
     group: groups.Group
@@ -152,9 +164,10 @@
 @register
 @attrs.frozen
 class Fetch:
-    """Ask for records, from a place on.
+    """Request one page of a member's records.
 
-    :param listing: which listing goes on, 0 for a new one.
+    :param place: the position in the listing at which the page starts.
+    :param listing: the listing to continue, 0 for a new one.
     """
 
     place: int = 0
@@ -164,10 +177,11 @@
 @register
 @attrs.frozen
 class Records:
-    """Records of a member.
+    """One page of a member's records.
 
-    :param next_place: where to go on, 0 at the end.
-    :param is_complete: whether the member holds all it should.
+    :param next_place: the position of the next page, 0 at the end.
+    :param listing: the listing that the page belongs to.
+    :param is_complete: whether the member holds all acknowledged records.
     """
 
     records: list[bytes]
@@ -179,7 +193,7 @@
 @register
 @attrs.frozen
 class Give:
-    """Hand records to a member that may lack them."""
+    """Transfer records to a member that may lack them."""
 
     records: list[bytes]
 
@@ -187,9 +201,9 @@
 @register
 @attrs.frozen
 class Beat:
-    """A host is alive and asks for news.
+    """A heartbeat of an entry host, answered with ``News``.
 
-    :param epoch: the storage group that it knows.
+    :param epoch: the epoch of the storage group that it knows.
     """
 
     epoch: int
@@ -198,11 +212,11 @@
 @register
 @attrs.frozen
 class News:
-    """What a store host knows, in short.
+    """A summary of a store host's state.
 
-    :param group: the storage group, where the asker's is older.
-    :param revisions: of what it knows of the platform, by kind.
-    :param is_fresh: whether it follows the platform at present.
+    :param group: the storage group, if the receiver's is older.
+    :param revisions: the platform revisions that it knows, by kind.
+    :param is_fresh: whether it currently follows the platform.
     """
 
     group: groups.Group | None
@@ -213,13 +227,16 @@
 @register
 @attrs.frozen
 class Presence:
-    """An entry host is alive and tells one store host what it does.
+    """A heartbeat of an entry host with its load report.
+
+    It goes to one store host and is answered with ``Hosts``.
 
-    :param address: where callers reach it.
-    :param in_flight: its calls by backend server.
+    :param address: address at which callers reach the entry host.
+    :param zone: its failure domain.
+    :param in_flight: its calls in flight by backend server.
     :param waiting: its calls that wait for a slot, by service.
-    :param epoch: the storage group that it knows.
-    :param hosts_version: the set of hosts that it was told before.
+    :param epoch: the epoch of the storage group that it knows.
+    :param hosts_version: the version of the set of hosts that it knows.
     :param suspects: backend servers that have just failed its calls.
     """
 
@@ -237,14 +254,16 @@
 @register
 @attrs.frozen
 class Hosts:
-    """What a store host heard of all entry hosts.
+    """The state of all entry hosts as known to a store host.
 
     :param version: identifies the set of hosts.
-    :param hosts: address, zone and whether it is leaving, by node; nothing
-        where the asker has this version.
-    :param in_flight: calls of all other entry hosts by backend server.
-    :param waiting: calls of all other entry hosts that wait, by service.
-    :param suspects: how many other entry hosts suspect a backend server.
+    :param hosts: address, failure domain and whether it is leaving, by node;
+        ``None`` if the receiver knows this version.
+    :param in_flight: calls in flight of all other entry hosts, by backend
+        server.
+    :param waiting: waiting calls of all other entry hosts, by service.
+    :param suspects: number of other entry hosts that suspect a backend
+        server, by its name.
     """
 
     version: int
@@ -258,9 +277,9 @@
 @register
 @attrs.frozen
 class Report:
-    """A store host tells another what it heard itself.
+    """A heartbeat between store hosts with the reports of entry hosts.
 
-    :param presences: entry hosts that told it of themselves lately.
+    :param presences: the recent reports that the sender received directly.
     """
 
     group: groups.Group
@@ -272,7 +291,9 @@
 class Refused:
     """A request was not carried out.
 
-    :param reason: ``stale``, ``behind``, ``filling`` or ``failed``.
+    :param reason: ``stale`` if the sender's group is outdated, ``behind`` if
+        the member's is, ``filling`` while the member still copies records,
+        ``failed`` if the disk failed or the listing is gone.
     :param group: the group that the member knows.
     """
 
@@ -282,7 +303,7 @@
 
 @attrs.frozen
 class Envelope:
-    """A message with its number and the sender's epoch."""
+    """A message with its request number and the sender's epoch."""
 
     number: int
     epoch: int
@@ -290,7 +311,7 @@
 
 
 def encode(envelope: Envelope) -> bytes:
-    """Return a frame."""
+    """Encode a message as a frame."""
     tag = type(envelope.message).__name__
     payload = msgspec.msgpack.encode(
         (envelope.number, envelope.epoch, tag, envelope.message)
@@ -299,31 +320,34 @@
 
 
 def decode(payload: bytes) -> Envelope:
-    """Return what a frame's payload holds.
+    """Decode the payload of a frame.
 
-    :raises BadRequestError: it is no message.
+    :raises BadRequestError: if it is not a known message.
     """
     try:
         number, epoch, tag, fields = msgspec.msgpack.decode(payload)
         message = msgspec.convert(fields, MESSAGE_TYPES[tag])
     except _DECODE_ERRORS as error:
         raise exceptions.BadRequestError(
-            f'this is no message: {error!r}', step='decode'
+            f'malformed storage message: {error!r}', step='decode'
         ) from error
     return Envelope(number, epoch, message)
 
 
 def pop_frames(buffered: bytearray) -> list[bytes]:
-    """Take the whole frames out of a buffer.
+    """Remove the complete frames from a buffer and return their payloads.
 
-    :raises BadRequestError: a frame is too long.
+    :raises BadRequestError: if a frame is too long.
     """
     frames = []
     start = 0
     while len(buffered) - start >= _LENGTH_PREFIX.size:
         length = _LENGTH_PREFIX.unpack_from(buffered, start)[0]
         if length > MAX_FRAME_BYTES:
-            raise exceptions.BadRequestError('a frame is too long', step='read')
+            raise exceptions.BadRequestError(
+                f'a frame of {length} bytes is longer than {MAX_FRAME_BYTES}',
+                step='read',
+            )
         payload_start = start + _LENGTH_PREFIX.size
         if len(buffered) < payload_start + length:
             break
--- a/src/carobfork/storage/presences.py
+++ b/src/carobfork/storage/presences.py
@@ -1,9 +1,9 @@
-"""Presences: which entry hosts are alive, and what they run.
+"""Track which entry hosts are alive, and the load that they report.
 
-Each entry host tells one store host a few times a second, and is told of the
-others. Store hosts tell each other what they heard themselves. So the
-messages grow with the number of entry hosts, not with its product with the
-number of store hosts.
+Each entry host reports to one store host a few times a second, and gets the
+state of the others in reply. Store hosts forward the reports that they
+received directly to each other. So the number of messages grows with the
+number of entry hosts, not with its product with the number of store hosts.
 """
 
 import collections
@@ -17,16 +17,25 @@
 from carobfork.storage import messages
 
 PRESENCE_TTL_MS = 1100
-"""Four beats: a host that missed them is down, frozen or cut off."""
+"""Lifetime of a report. A host that missed four heartbeats is down, frozen or
+cut off."""
 DIRECT_PRECEDENCE_MS = 400
-"""A beat and a half: what was heard directly since stands against reports."""
+"""Time in which a direct report takes precedence over forwarded ones: about one
+and a half heartbeats."""
 TOTALS_TTL_MS = 50
-"""How long sums are used again: short against the beats that they sum up."""
+"""Lifetime of computed totals; short compared with the heartbeat interval of
+the reports that they add up."""
 _VERSION_RANGE = 1_000_000_000
 
 
 @attrs.frozen
 class _Observation:
+    """The last report of an entry host.
+
+    :param received_ms: when it arrived here.
+    :param is_direct: whether the entry host sent it here itself.
+    """
+
     received_ms: float
     presence: messages.Presence
     is_direct: bool
@@ -34,7 +43,10 @@
 
 @attrs.frozen
 class _Totals:
-    """Calls of all entry hosts, and of each one as it is counted there."""
+    """Totals of all entry hosts, and the reports that they add up.
+
+    :param by_node: the report of each entry host, as included in the totals.
+    """
 
     computed_ms: float = float('-inf')
     in_flight: Mapping[str, int] = attrs.Factory(dict)
@@ -47,27 +59,28 @@
 
 
 class PresenceTable:
-    """Remember the last word of each entry host.
+    """The last report of each live entry host.
 
-    :param timer: measures ages.
+    :param timer: measures the age of reports.
     """
 
     def __init__(self, timer: clock.Clock) -> None:
-        """Start without hosts."""
+        """Create an empty table."""
         self._timer = timer
         self._observations: dict[str, _Observation] = {}
         self._hosts: dict[str, tuple[str, str, bool]] = {}
         self._totals = _Totals()
-        # Random, so that a host which was told by another process of this
-        # host's, or by another host, is told again.
+        # The initial version is random, so that an entry host which knows a
+        # version of an earlier process or of another store host does not
+        # mistake it for this one.
         self._hosts_version = random.randrange(_VERSION_RANGE)
 
     def record(
         self, presence: messages.Presence, news: messages.News
     ) -> messages.Hosts:
-        """Note what a host told and return what it wants to know.
+        """Record a host's own report and return the reply to it.
 
-        :param news: goes into the answer.
+        :param news: included in the reply.
         """
         now_ms = self._timer.now_ms()
         self._observations[presence.node] = _Observation(
@@ -86,7 +99,7 @@
         )
 
     def record_reported(self, presences: Iterable[messages.Presence]) -> None:
-        """Note what another store host heard."""
+        """Record reports that another store host forwarded."""
         now_ms = self._timer.now_ms()
         for presence in presences:
             known = self._observations.get(presence.node)
@@ -101,7 +114,7 @@
                 )
 
     def recent_direct(self) -> list[messages.Presence]:
-        """Return what was heard from entry hosts themselves lately."""
+        """Return the recent reports that entry hosts sent here directly."""
         now_ms = self._timer.now_ms()
         return [
             observation.presence
@@ -111,7 +124,7 @@
         ]
 
     def has_waiting_calls(self) -> bool:
-        """Tell whether calls wait at any entry host."""
+        """Return whether calls wait at any entry host."""
         return bool(self._current_totals(self._timer.now_ms()).waiting)
 
     def _current_totals(self, now_ms: float) -> _Totals:
@@ -163,7 +176,7 @@
 def _subtract(
     totals: Mapping[str, int], own: Mapping[str, int]
 ) -> dict[str, int]:
-    """Return sums less one host's part, without zeros."""
+    """Return totals less one host's counts, without zeros."""
     return {
         name: total - own.get(name, 0)
         for name, total in totals.items()
--- a/src/carobfork/storage/record_indexes.py
+++ b/src/carobfork/storage/record_indexes.py
@@ -1,7 +1,7 @@
-"""Ledgers: an index of the records on one disk.
+"""Index the records on one disk.
 
-Turns stay on the disk and are read when a chain is asked for; budgets are
-few bytes and stay in memory.
+Turns stay on the disk and are read when a chain is requested. Budget charges
+take few bytes and stay in memory.
 """
 
 from collections.abc import Iterator
@@ -13,16 +13,18 @@
 from carobfork.storage import messages, segments
 
 RETENTION_MARGIN_MS = 20_000
-"""Kept beyond their time: steps of the time of day, and requests under way."""
+"""Extra time for which records are kept: it covers steps of the wall clock and
+requests in flight."""
 MAX_CHAIN_TURNS = 512
-"""Longest chain that is followed: bounds the work of one request."""
+"""Longest chain that is read; bounds the work of one request."""
 
 
 @attrs.frozen
 class Record:
-    """What is written on a disk.
+    """A turn or charge as written to a disk.
 
-    :param written_ms: time of day of the host that wrote it.
+    :param written_ms: wall-clock time of the host that wrote it.
+    :param retain_ms: how long it is kept from then on.
     """
 
     written_ms: float
@@ -32,7 +34,7 @@
 
 @attrs.define
 class _TurnEntry:
-    """Where a turn lies and how long it is needed."""
+    """The location of a turn and the time at which it expires."""
 
     previous: str
     location: segments.RecordLocation | None
@@ -41,21 +43,21 @@
 
 @attrs.define
 class _ProgramCharges:
-    """The charges of a program, by attempt."""
+    """The charges of a program, by attempt, and when they expire."""
 
     charges: dict[str, tuple[int, bool]]
     expires_ms: float
 
 
 class RecordIndex:
-    """Know all turns and charges that a disk holds.
+    """An index of all turns and charges that a disk holds.
 
-    :param files: the disk's records.
-    :param timer: the time of day in ms.
+    :param files: the disk's record files.
+    :param timer: the wall clock.
     """
 
     def __init__(self, files: segments.Segments, timer: clock.Clock) -> None:
-        """Read the records that the disk holds."""
+        """Build the index from the records on the disk."""
         self._files = files
         self._timer = timer
         self._turns: dict[str, _TurnEntry] = {}
@@ -66,7 +68,7 @@
         self.propagate_retention()
 
     def apply(self, record: Record, location: segments.RecordLocation) -> None:
-        """Take a record in that lies at a place."""
+        """Add a record that was written at a location."""
         expires_ms = record.written_ms + record.retain_ms + RETENTION_MARGIN_MS
         self._retain_segment(location.segment, expires_ms)
         if isinstance(record.entry, messages.Charge):
@@ -80,7 +82,7 @@
     def new_record(
         self, entry: messages.Charge | messages.Turn, retain_ms: float
     ) -> Record:
-        """Return a record of an entry, written now."""
+        """Return a record of an entry with the current time."""
         return Record(self._timer.now_ms(), retain_ms, entry)
 
     def charges(self, program: str) -> dict[str, tuple[int, bool]]:
@@ -89,16 +91,16 @@
         return dict(program_charges.charges) if program_charges else {}
 
     def has_charge(self, charge: messages.Charge) -> bool:
-        """Tell whether a charge would change nothing."""
+        """Return whether the index already covers a charge."""
         known = self.charges(charge.program).get(charge.attempt)
         return known is not None and (known[1] or not charge.is_settled)
 
     def has_turn(self, attempt: str) -> bool:
-        """Tell whether a turn is kept."""
+        """Return whether a turn is stored here."""
         return attempt in self._turns
 
     def select_unknown(self, records: list[bytes]) -> list[Record]:
-        """Return those of other hosts' records that are new here."""
+        """Return those of another host's records that are missing here."""
         unknown_records = []
         for record in map(decode_record, records):
             entry = record.entry
@@ -111,10 +113,10 @@
         return unknown_records
 
     def read_chain(self, attempt: str) -> tuple[bytes, str]:
-        """Return the bytes of a turn and those before it, oldest first.
+        """Return the bytes of a turn and its predecessors, oldest first.
 
-        :return: as much of the chain as is here, and the name of the first
-            turn, from the newest on, that is not.
+        :return: the part of the chain that is stored here, and the name of
+            the newest turn that was not read, or an empty string.
         """
         pieces: list[bytes] = []
         name = attempt
@@ -128,12 +130,12 @@
         return b''.join(reversed(pieces)), name
 
     def extend_retention(self, attempt: str, retain_ms: float) -> None:
-        """Keep a chain for as long as a turn that continues it may last."""
+        """Keep a chain for as long as a turn that continues it may run."""
         expires_ms = self._timer.now_ms() + retain_ms + RETENTION_MARGIN_MS
         self._extend_chain_retention(attempt, expires_ms)
 
     def dump(self) -> Iterator[segments.RecordLocation | Record]:
-        """Yield what is kept: places of turns, and records of charges."""
+        """Yield the locations of all turns and records of all charges."""
         now_ms = self._timer.now_ms()
         for turn in list(self._turns.values()):
             yield turn.location
@@ -146,16 +148,16 @@
                 yield Record(now_ms, retain_ms, charge)
 
     def propagate_retention(self) -> None:
-        """Keep all chains as long as their last turns.
+        """Keep all turns of a chain at least as long as its last one.
 
-        Records that were copied come in any order, a turn before the one
-        that it continues among them.
+        Copied records arrive in any order, so a turn can arrive before the
+        turn that it continues.
         """
         for turn in list(self._turns.values()):
             self._extend_chain_retention(turn.previous, turn.expires_ms)
 
     def expire(self) -> list[int]:
-        """Forget what is past its time, and return files not needed."""
+        """Remove expired entries and return segments no longer needed."""
         now_ms = self._timer.now_ms()
         for attempt, turn in list(self._turns.items()):
             if turn.expires_ms < now_ms:
@@ -173,7 +175,7 @@
         return unneeded
 
     def describe(self) -> dict[str, int]:
-        """Return the sizes of the index."""
+        """Return the number of turns and programs in the index."""
         return {'turns': len(self._turns), 'programs': len(self._programs)}
 
     def _apply_charge(self, charge: messages.Charge, expires_ms: float) -> None:
@@ -204,7 +206,7 @@
 
 
 def encode_record(record: Record) -> bytes:
-    """Return a record's bytes."""
+    """Encode a record."""
     kind = type(record.entry).__name__
     return msgspec.msgpack.encode(
         (record.written_ms, record.retain_ms, kind, record.entry)
@@ -212,7 +214,7 @@
 
 
 def decode_record(encoded: bytes) -> Record:
-    """Return the record that bytes hold."""
+    """Decode a record."""
     written_ms, retain_ms, kind, fields = msgspec.msgpack.decode(encoded)
     entry = msgspec.convert(fields, messages.MESSAGE_TYPES[kind])
     return Record(written_ms, retain_ms, entry)
--- a/src/carobfork/storage/replicas.py
+++ b/src/carobfork/storage/replicas.py
@@ -1,4 +1,4 @@
-"""Keepers: a store host's answers to requests about records."""
+"""Serve requests about the records that one store host replicates."""
 
 from collections.abc import Callable
 from typing import Any
@@ -18,7 +18,8 @@
 )
 
 PAGE_BYTES = 262_144
-"""Bytes of one page of a copy: a few ms on the slowest link of a store host."""
+"""Size at which a page of records is sent; a page takes a few milliseconds on
+the slowest link of a store host."""
 
 logger = structlog.get_logger(part='keeper')
 
@@ -26,13 +27,13 @@
 
 
 class Replica:
-    """Carry out requests about the records of one disk.
+    """One store host's replica of the records.
 
-    :param disk: keeps the records.
+    :param disk: stores the records.
     """
 
     def __init__(self, disk: disks.Disk) -> None:
-        """Start with the group that the disk knows."""
+        """Create a replica with the group that is stored on the disk."""
         self.disk = disk
         self.index = disk.index
         self.status_exchange = status_exchanges.StatusExchange(
@@ -44,11 +45,11 @@
 
     @property
     def group(self) -> groups.Group:
-        """The newest group that is known here."""
+        """The newest group that this replica knows."""
         return self.disk.identity.group
 
     def adopt(self, group: groups.Group) -> None:
-        """Take a newer group over, permanently."""
+        """Store a group durably if it is newer than the known one."""
         if group.epoch > self.group.epoch:
             logger.info(
                 'storage group adopted',
@@ -64,7 +65,13 @@
     def receive(
         self, envelope: messages.Envelope, reply: ReplyCallback
     ) -> None:
-        """Carry out a request; the reply may come later."""
+        """Handle a request.
+
+        Requests of ``_EPOCH_FENCED`` are refused unless the sender knows the
+        same epoch as this replica.
+
+        :param reply: called with the reply, possibly after this returns.
+        """
         kind = type(envelope.message).__name__
         status_handler = _STATUS_HANDLERS.get(kind)
         if status_handler is not None:
@@ -78,7 +85,7 @@
         handler(self, envelope.message, reply)
 
     def import_records(self, records: list[bytes]) -> None:
-        """Write copied records that are not known yet and wait for them."""
+        """Write copied records that are missing here and wait for the sync."""
         done = event.Event()
         self._submit(
             self.index.select_unknown(records),
@@ -90,7 +97,7 @@
     def handle_begin(
         self, message: messages.Begin, reply: ReplyCallback
     ) -> None:
-        """Reserve tokens and tell what is known of the program."""
+        """Reserve tokens and reply with the program's state."""
         charge = message.charge
         records = []
         if charge is not None:
@@ -102,7 +109,7 @@
     def handle_finish(
         self, message: messages.Finish, reply: ReplyCallback
     ) -> None:
-        """Settle an attempt and keep its turn."""
+        """Settle an attempt and store its turn."""
         records = []
         if message.charge is not None:
             self.open_turns.remove(message.charge.attempt)
@@ -119,21 +126,25 @@
     def handle_place(
         self, message: messages.Place, reply: ReplyCallback
     ) -> None:
-        """Note where a turn runs after all."""
+        """Update the backend server that an open turn runs on."""
         self.open_turns.assign(message.attempt, message.worker)
         reply(messages.Done())
 
     def handle_adopt(
         self, message: messages.Adopt, reply: ReplyCallback
     ) -> None:
-        """Adopt the group that a peer knows."""
+        """Adopt the group that a peer sent."""
         self.adopt(message.group)
         reply(messages.Done())
 
     def handle_fetch(
         self, message: messages.Fetch, reply: ReplyCallback
     ) -> None:
-        """Answer a page of all records."""
+        """Reply with one page of all records.
+
+        A new listing replaces the one before; a request for a page of an
+        older listing is refused.
+        """
         if not message.listing:
             self._listed_entries = list(self.index.dump())
             self._listing_number += 1
@@ -156,7 +167,7 @@
         )
 
     def handle_give(self, message: messages.Give, reply: ReplyCallback) -> None:
-        """Keep records that another member hands over."""
+        """Store records that another member transfers."""
         self._submit(
             self.index.select_unknown(message.records), messages.Done, reply
         )
--- a/src/carobfork/storage/segments.py
+++ b/src/carobfork/storage/segments.py
@@ -1,7 +1,7 @@
-"""Segments: checksummed records appended to files of bounded size.
+"""Append checksummed records to files of bounded size.
 
-A process never appends to a file of an earlier one: after a power loss its
-end may be torn, and whatever follows a torn record can't be framed.
+A process never appends to a file of an earlier process. After a power loss
+the end of that file may be torn, and records after a torn one can't be read.
 """
 
 import os
@@ -13,14 +13,15 @@
 import attrs
 
 SEGMENT_BYTES = 8_388_608
-"""Small enough that a segment is dropped soon after its last turn expires."""
+"""Size at which a new segment starts; small enough that a segment can be
+removed soon after its last turn expires."""
 _HEADER = struct.Struct('>II')
 _SUFFIX = '.records'
 
 
 @attrs.frozen
 class RecordLocation:
-    """Where a record lies."""
+    """The location of a record in a segment."""
 
     segment: int
     offset: int
@@ -28,13 +29,13 @@
 
 
 class Segments:
-    """The record files of one directory.
+    """The segment files of one directory.
 
     :param folder: the directory; it must exist.
     """
 
     def __init__(self, folder: pathlib.Path) -> None:
-        """Find the files that exist; records are appended to a new one."""
+        """Find the existing files; records will be appended to a new one."""
         self._folder = folder
         self._numbers = sorted(
             int(path.stem) for path in folder.glob(f'*{_SUFFIX}')
@@ -45,19 +46,19 @@
 
     @property
     def current(self) -> int:
-        """The number of the file that is being written, 0 for none."""
+        """The number of the newest file, 0 if there is none."""
         return self._numbers[-1] if self._numbers else 0
 
     def replay(self) -> Iterator[tuple[RecordLocation, bytes]]:
-        """Yield the whole records of all files, oldest first."""
+        """Yield the intact records of all files, oldest first."""
         for number in list(self._numbers):
             content = self._path(number).read_bytes()
             yield from _parse_records(number, content)
 
     def append(self, records: list[bytes]) -> list[RecordLocation]:
-        """Write records and return their places; they are not synced yet.
+        """Write records without a sync and return their locations.
 
-        :raises OSError: the disk refused.
+        :raises OSError: if the write fails.
         """
         if self._writer is None or self._size > SEGMENT_BYTES:
             self._roll()
@@ -73,11 +74,11 @@
         return locations
 
     def sync(self) -> None:
-        """Wait until all that was appended is on the disk."""
+        """Wait until all appended records are on the disk."""
         os.fdatasync(self._writer)
 
     def read(self, location: RecordLocation) -> bytes:
-        """Return a record."""
+        """Return the bytes of a record."""
         descriptor = self._readers.get(location.segment)
         if descriptor is None:
             descriptor = os.open(self._path(location.segment), os.O_RDONLY)
@@ -85,7 +86,7 @@
         return os.pread(descriptor, location.length, location.offset)
 
     def remove(self, number: int) -> None:
-        """Remove a file that is not being written."""
+        """Remove a file; it must not be the one being written."""
         descriptor = self._readers.pop(number, None)
         if descriptor is not None:
             os.close(descriptor)
@@ -119,7 +120,7 @@
 
 
 def sync_folder(folder: pathlib.Path) -> None:
-    """Make the names of a directory permanent."""
+    """Make the entries of a directory durable."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -128,7 +129,7 @@
 
 
 def write_file(path: pathlib.Path, content: bytes) -> None:
-    """Replace a small file as a whole, permanently."""
+    """Replace a small file atomically and durably."""
     temporary = path.with_suffix('.new')
     descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC)
     try:
@@ -149,7 +150,7 @@
 def _parse_records(
     number: int, content: bytes
 ) -> Iterator[tuple[RecordLocation, bytes]]:
-    """Yield records up to the first that is torn."""
+    """Yield records up to the first torn one."""
     offset = 0
     while len(content) - offset >= _HEADER.size:
         length, checksum = _HEADER.unpack_from(content, offset)
--- a/src/carobfork/storage/snapshots.py
+++ b/src/carobfork/storage/snapshots.py
@@ -1,7 +1,8 @@
-"""Notes: what the platform told last, passed on between hosts.
+"""Cache snapshots of the platform's objects and exchange deltas of them.
 
-Hosts tell each other what has changed since the revision that the asker
-knows, since a listing of all backend servers is large and changes often.
+Hosts send each other only what has changed since the revision that the
+requesting host knows, because a listing of all backend servers is large and
+changes often.
 """
 
 from collections.abc import Mapping
@@ -13,11 +14,11 @@
 
 @attrs.frozen
 class Delta:
-    """What has changed of one kind of objects.
+    """The changes of one kind of objects since a revision.
 
-    :param revision: the state that it leads to.
+    :param revision: the revision that the delta leads to.
     :param entries: revision and content of changed objects, by name.
-    :param names: all objects that are present.
+    :param names: the names of all objects present at that revision.
     """
 
     revision: int
@@ -36,7 +37,7 @@
     entries: dict[str, tuple[int, bytes]] = attrs.Factory(dict)
 
     def delta_since(self, revision: int) -> Delta:
-        """Return what a host lacks that knows an earlier revision."""
+        """Return the changes since an earlier revision."""
         changed = {
             name: entry
             for name, entry in self.entries.items()
@@ -45,9 +46,10 @@
         return Delta(self.revision, changed, list(self.entries))
 
     def apply(self, delta: Delta) -> 'Snapshot | None':
-        """Return the note after a change.
+        """Return the snapshot after a delta.
 
-        Nothing, where the change leaves out an object that is not known here.
+        Returns ``None`` if the delta omits an object that this snapshot does
+        not hold.
         """
         known = {**self.entries, **delta.entries}
         if not known.keys() >= set(delta.names):
@@ -58,41 +60,44 @@
 
 
 class SnapshotCache:
-    """The newest note of each kind.
+    """The newest snapshot of each kind of objects.
 
-    :param notes: what was known before, by kind.
+    :param snapshots: initial snapshots, by kind.
     """
 
     def __init__(self, snapshots: Mapping[str, Snapshot] | None = None) -> None:
-        """Start with what was known before."""
+        """Create a cache with the initial snapshots."""
         self.snapshots = dict(snapshots or {})
 
     def revisions(self) -> dict[str, int]:
-        """Return the known revision of each kind."""
+        """Return the cached revision of each kind."""
         return {
             kind: snapshot.revision for kind, snapshot in self.snapshots.items()
         }
 
     def is_behind(self, revisions: Mapping[str, int]) -> bool:
-        """Tell whether another host knows more."""
+        """Return whether another host's revisions include a newer one."""
         return any(
             revision > self.get(kind).revision
             for kind, revision in revisions.items()
         )
 
     def get(self, kind: str) -> Snapshot:
-        """Return the note of a kind, an empty one where none is known."""
+        """Return the snapshot of a kind, or an empty one."""
         return self.snapshots.get(kind) or Snapshot()
 
     def put(self, kind: str, snapshot: Snapshot) -> bool:
-        """Keep a note unless a newer one is known; tell whether it is kept."""
+        """Store a snapshot unless a newer one is cached.
+
+        :return: whether it was stored.
+        """
         if snapshot.revision < self.get(kind).revision:
             return False
         self.snapshots[kind] = snapshot
         return True
 
     def deltas_since(self, revisions: Mapping[str, int]) -> dict[str, Delta]:
-        """Return what a host lacks that knows certain revisions."""
+        """Return the deltas for a host that knows certain revisions."""
         return {
             kind: snapshot.delta_since(revisions.get(kind, UNKNOWN_REVISION))
             for kind, snapshot in self.snapshots.items()
@@ -100,10 +105,10 @@
         }
 
     def merge(self, deltas: Mapping[str, Delta]) -> tuple[list[str], bool]:
-        """Take what another host told.
+        """Apply another host's deltas.
 
-        :return: the kinds that are newer now, and whether all of it could be
-            taken; otherwise the host must be asked for everything.
+        :return: the kinds that were updated, and whether all deltas could be
+            applied; otherwise full snapshots have to be requested.
         """
         updated_kinds = []
         is_complete = True
--- a/src/carobfork/storage/status_exchanges.py
+++ b/src/carobfork/storage/status_exchanges.py
@@ -1,4 +1,4 @@
-"""Informers: what a store host tells others of the platform and of hosts."""
+"""Exchange the state of the platform and of entry hosts with other hosts."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,7 +9,8 @@
 from carobfork.storage import disks, groups, messages, presences, snapshots
 
 PEER_FRESHNESS_TTL_MS = 600
-"""Two beats and a bit: a peer that follows the platform was heard since."""
+"""Time for which a peer that follows the platform counts as up to date after
+its last reply; more than two heartbeats."""
 
 logger = structlog.get_logger(part='informer')
 
@@ -18,17 +19,18 @@
 
 
 class StatusExchange:
-    """Answer beats of entry hosts and reports of other store hosts.
+    """Handle heartbeats of entry hosts and reports of other store hosts.
 
-    :param disk: keeps what is known, and the group.
-    :param adopt: takes a newer group over.
-    :param timer: measures ages.
+    :ivar is_following: returns whether this host follows the platform.
+    :param disk: stores the platform's snapshots and the group.
+    :param adopt: adopts a newer group.
+    :param timer: measures the age of reports.
     """
 
     def __init__(
         self, disk: disks.Disk, adopt: AdoptCallback, timer: clock.Clock
     ) -> None:
-        """Start with what the disk knows."""
+        """Create an exchange that does not follow the platform yet."""
         self.is_following: Callable[[], bool] = _never
         self._disk = disk
         self._adopt = adopt
@@ -40,9 +42,10 @@
     def update_snapshot(
         self, kind: str, snapshot: snapshots.Snapshot, was_unreachable: bool
     ) -> None:
-        """Note what the platform tells, for other hosts.
+        """Store a snapshot of the platform's objects for other hosts.
 
-        :param was_unreachable: whether the platform was out of reach before.
+        :param kind: the kind of the objects.
+        :param was_unreachable: whether the platform was unreachable before.
         """
         if was_unreachable:
             self._last_outage_ms = self._timer.now_ms()
@@ -52,7 +55,7 @@
             self._disk.save_snapshots()
 
     def merge_recalled(self, recalled: messages.Recalled) -> bool:
-        """Note what a peer knows; tell whether all of it could be taken."""
+        """Merge a peer's platform state; return whether all could be merged."""
         self._adopt(recalled.group)
         outage_ms = self._timer.now_ms() - recalled.since_outage_ms
         self._last_outage_ms = max(self._last_outage_ms, outage_ms)
@@ -60,12 +63,12 @@
             recalled.changes
         )
         if updated_kinds:
-            logger.info('told by a peer', **self._disk.snapshots.revisions())
+            logger.info('updated by a peer', **self._disk.snapshots.revisions())
             self._disk.save_snapshots()
         return is_complete
 
     def apply_news(self, news: messages.News) -> bool:
-        """Note a peer's news; tell whether it knows more than this host."""
+        """Apply a peer's news; return whether the peer has newer snapshots."""
         if news.group is not None:
             self._adopt(news.group)
         if news.is_fresh:
@@ -73,18 +76,18 @@
         return self._disk.snapshots.is_behind(news.revisions)
 
     def build_report(self) -> messages.Report:
-        """Return what other store hosts should know."""
+        """Return the group and the direct reports of entry hosts."""
         group = self._disk.identity.group
         return messages.Report(group, self._presences.recent_direct())
 
     def has_waiting_calls(self) -> bool:
-        """Tell whether calls wait at any entry host."""
+        """Return whether calls wait at any entry host."""
         return self._presences.has_waiting_calls()
 
     def handle_recall(
         self, message: messages.Recall, reply: ReplyCallback
     ) -> None:
-        """Tell what the asker does not know of the platform."""
+        """Reply with the platform state that the peer does not have."""
         since_ms = self._timer.now_ms() - self._last_outage_ms
         changes = self._disk.snapshots.deltas_since(message.revisions)
         group = self._disk.identity.group
@@ -93,7 +96,7 @@
     def handle_presence(
         self, message: messages.Presence, reply: ReplyCallback
     ) -> None:
-        """Note an entry host's word and tell of the others."""
+        """Record an entry host's report and reply with the other hosts."""
         has_fresh_peer = (
             self._timer.now_ms() - self._peer_fresh_ms <= PEER_FRESHNESS_TTL_MS
         )
@@ -103,13 +106,13 @@
         reply(self._presences.record(message, news))
 
     def handle_beat(self, message: messages.Beat, reply: ReplyCallback) -> None:
-        """Tell an entry host the news."""
+        """Reply to an entry host's heartbeat with the news."""
         reply(self._build_news(message.epoch, self.is_following()))
 
     def handle_report(
         self, message: messages.Report, reply: ReplyCallback
     ) -> None:
-        """Note what another store host heard."""
+        """Record the reports that another store host received directly."""
         self._adopt(message.group)
         self._presences.record_reported(message.presences)
         reply(self._build_news(message.group.epoch, self.is_following()))
--- a/src/carobfork/storage/turn_counters.py
+++ b/src/carobfork/storage/turn_counters.py
@@ -1,8 +1,8 @@
-"""Boards: which backend servers the open turns run on.
+"""Count the open turns on each backend server.
 
-Every turn is begun and finished at the store hosts, so they know of all
-turns of all entry hosts within milliseconds, while sums of what entry hosts
-tell of themselves are some hundred milliseconds old.
+Every turn begins and finishes at the store hosts, so they know the turns of
+all entry hosts within milliseconds. Totals of the entry hosts' own load
+reports are a few hundred milliseconds old.
 """
 
 import collections
@@ -10,36 +10,41 @@
 from carobfork import clock
 
 OPEN_TURN_TTL_MS = 5000
-"""A turn that was neither finished nor settled by then lost its host."""
+"""Age at which a turn stops counting: if it is neither finished nor settled by
+then, its entry host was lost."""
 
 
 class TurnCounter:
-    """Count open turns by backend server.
+    """The open turns, counted by backend server.
 
-    :param timer: measures ages.
+    :param timer: measures the age of turns.
     """
 
     def __init__(self, timer: clock.Clock) -> None:
-        """Start without turns."""
+        """Create a counter without turns."""
         self._timer = timer
         self._open_turns: dict[str, tuple[str, float]] = {}
         self._counts: collections.Counter[str] = collections.Counter()
 
     def assign(self, attempt: str, worker: str) -> None:
-        """Note that a turn is about to run on a server."""
+        """Count a turn on the backend server that it runs on.
+
+        A turn that was assigned before moves to the new worker; without a
+        worker it is no longer counted.
+        """
         self.remove(attempt)
         if worker:
             self._open_turns[attempt] = (worker, self._timer.now_ms())
             self._counts[worker] += 1
 
     def remove(self, attempt: str) -> None:
-        """Note that a turn has ended."""
+        """Stop counting a turn that has ended; unknown turns are ignored."""
         worker, _since_ms = self._open_turns.pop(attempt, ('', 0))
         if worker:
             self._counts[worker] -= 1
 
     def counts(self) -> dict[str, int]:
-        """Return the open turns by server, without idle ones."""
+        """Return the number of open turns by worker, without idle workers."""
         self._expire()
         return {name: count for name, count in self._counts.items() if count}
 
--- a/tests/test_presences.py
+++ b/tests/test_presences.py
@@ -1,4 +1,4 @@
-"""Presences: entry hosts as store hosts hear of them, on a manual clock."""
+"""Test how store hosts track entry hosts, on a manual clock."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 def presence(node, calls=0, version=0):
-    """Return what an entry host tells of itself."""
+    """Return an entry host's heartbeat with its load report."""
     return messages.Presence(
         node,
         f'{node}:1',
@@ -24,20 +24,20 @@
 
 
 class PresencesTest(unittest.TestCase):
-    """Two store hosts, one of which hears an entry host directly."""
+    """Two store hosts, one of which gets an entry host's reports directly."""
 
     def setUp(self):
-        """Start without entry hosts."""
+        """Create the tables of two store hosts."""
         self.timer = clock.ManualClock()
         self.near = presences.PresenceTable(self.timer)
         self.far = presences.PresenceTable(self.timer)
 
     def report(self):
-        """Let the near store host tell the far one what it heard."""
+        """Forward the near store host's direct reports to the far one."""
         self.far.record_reported(self.near.recent_direct())
 
     def test_calls_of_hosts_that_tell_another_store_host(self):
-        """All calls count but the asker's own."""
+        """Totals include the calls of all hosts except the receiver's own."""
         self.near.record(presence('a', calls=2), NEWS)
         self.report()
         told = self.far.record(presence('b', calls=3), NEWS)
@@ -46,7 +46,11 @@
         self.assertEqual(set(told.hosts), {'a', 'b'})
 
     def test_calls_that_wait_elsewhere_hurry_reports(self):
-        """A store host learns of them through a report, too."""
+        """A store host learns of waiting calls through forwarded reports too.
+
+        Otherwise it would keep the long heartbeat interval while calls wait
+        at entry hosts that report to other store hosts.
+        """
         self.assertFalse(self.far.has_waiting_calls())
         self.near.record(presence('a', calls=2), NEWS)
         self.report()
@@ -54,7 +58,7 @@
         self.assertTrue(self.far.has_waiting_calls())
 
     def test_suspects(self):
-        """Other hosts' suspicions are counted, the asker's own are not."""
+        """Suspicions of other hosts are counted, the receiver's own are not."""
         for node in 'ab':
             told = attrs.evolve(presence(node), suspects=['e0'])
             self.near.record(told, NEWS)
@@ -64,13 +68,20 @@
         self.assertEqual(answer.suspects, {'e0': 2})
 
     def test_own_calls_are_taken_off_as_they_were_counted(self):
-        """Sums that are used again hold what the asker told before."""
+        """A host's own calls are subtracted as the cached totals include them.
+
+        Subtracting its newer count from older totals would leave a part of
+        its own calls as calls of other hosts.
+        """
         self.near.record(presence('a', calls=2), NEWS)
         told = self.near.record(presence('a', calls=1), NEWS)
         self.assertEqual(told.in_flight, {})
 
     def test_a_host_that_falls_silent(self):
-        """It is forgotten everywhere, though reports go on."""
+        """A silent host expires everywhere, though reports continue.
+
+        Forwarding a stale report must not renew it.
+        """
         self.near.record(presence('a'), NEWS)
         self.report()
         for _ in range(8):
@@ -81,7 +92,11 @@
         self.assertEqual(set(told.hosts), {'b', 'c'})
 
     def test_a_direct_word_stands_against_reports(self):
-        """A report of what a host told elsewhere before is older."""
+        """A recent direct report takes precedence over a forwarded one.
+
+        A forwarded report of a host that has since switched to this store
+        host is older than its direct report.
+        """
         self.near.record(presence('a', calls=9), NEWS)
         self.far.record(presence('a', calls=1), NEWS)
         self.report()
@@ -89,7 +104,7 @@
         self.assertEqual(told.in_flight, {'e0': 1})
 
     def test_known_hosts_are_not_told_again(self):
-        """Only the set's version is."""
+        """A host that knows the set's version does not get the set again."""
         first = self.near.record(presence('a'), NEWS)
         again = self.near.record(presence('a', version=first.version), NEWS)
         self.assertIsNone(again.hosts)
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Notes: what hosts tell each other of the platform, by differences."""
+"""Test the exchange of platform snapshots between hosts by deltas."""
 
 import unittest
 
@@ -9,16 +9,20 @@
 
 
 class NotesTest(unittest.TestCase):
-    """Two hosts, one of which knows less."""
+    """Two hosts, one of which has an older snapshot."""
 
     def test_only_changes_are_told(self):
-        """What the asker knows is named and not sent again."""
+        """A delta names unchanged objects but does not contain them."""
         change = AFTER.delta_since(5)
         self.assertEqual(change.entries, {'c': (7, b'c')})
         self.assertEqual(BEFORE.apply(change), AFTER)
 
     def test_a_change_that_leaves_too_much_out(self):
-        """It is not taken, and the asker wants everything."""
+        """A delta that omits objects unknown here is not applied.
+
+        Applying it would drop these objects until their next change; the host
+        has to request the full snapshot.
+        """
         notebook = snapshots.SnapshotCache()
         renewed, is_whole = notebook.merge({'k': AFTER.delta_since(5)})
         self.assertEqual((renewed, is_whole), ([], False))
@@ -26,7 +30,7 @@
         self.assertEqual((renewed, is_whole), (['k'], True))
 
     def test_older_notes_change_nothing(self):
-        """A host that lags behind is not believed."""
+        """Snapshots and deltas of a host that lags behind are ignored."""
         notebook = snapshots.SnapshotCache({'k': AFTER})
         self.assertFalse(notebook.put('k', BEFORE))
         self.assertEqual(
--- a/tests/test_storage_hosts.py
+++ b/tests/test_storage_hosts.py
@@ -1,4 +1,4 @@
-"""Storage hosts: turns and budgets while disks and hosts come and go."""
+"""Test that turns and budgets survive losses and changes of store hosts."""
 
 import unittest
 
@@ -9,10 +9,10 @@
 
 
 class StorageHostsTest(unittest.TestCase):
-    """Deployments whose store hosts are lost, replaced and emptied."""
+    """Deployments whose store hosts are lost, replaced and retired."""
 
     def keep(self, hosts, program='p1', previous='', body=b'kept', **options):
-        """Run a turn that is kept and return its attempt."""
+        """Run a turn that is stored and return its attempt."""
         attempt = plain_calls.new_attempt()
         headers = {'X-Previous-Turn': previous} if previous else {}
         answer = hosts.turn(
@@ -22,12 +22,16 @@
         return attempt
 
     def continues(self, hosts, previous, **options):
-        """Tell whether a turn can be continued."""
+        """Return whether a turn can be continued."""
         headers = {'X-Previous-Turn': previous}
         return hosts.turn('p1', headers=headers, **options).status == 200
 
     def test_one_lost_disk_at_a_time(self):
-        """Each disk is lost in turn, and every turn is still known."""
+        """No turn is forgotten when one disk after the other is wiped.
+
+        A replaced member must copy all records before it counts as a member;
+        otherwise the next loss removes the last copy of a turn.
+        """
         with platform_hosts.Deployment() as hosts:
             turns = [self.keep(hosts)]
             for name in ('store-0', 'store-1', 'store-2'):
@@ -37,7 +41,11 @@
                 self.assertTrue(self.continues(hosts, turn))
 
     def test_all_restart(self):
-        """Turns and budgets outlive the end of all processes."""
+        """Turns and charges survive a restart of all processes.
+
+        They would be lost if a reply were sent before the records are synced,
+        or if the index were not rebuilt from the disk.
+        """
         with platform_hosts.Deployment() as hosts:
             turn = self.keep(hosts, budget=100, most=40)
             hosts.stop_front('front-0')
@@ -50,14 +58,18 @@
             self.assertEqual(hosts.turn('p1', budget=100).status, 402)
 
     def test_a_minority_is_enough_to_lose(self):
-        """With one of three store hosts away, turns go on and are kept."""
+        """With one of three store hosts down, turns run and are stored."""
         with platform_hosts.Deployment() as hosts:
             hosts.stop_keeper('store-1')
             turn = self.keep(hosts)
             self.assertTrue(self.continues(hosts, turn))
 
     def test_a_hung_disk(self):
-        """A store host that lives but can't write holds nobody up."""
+        """A store host that is connected but can't write delays no turn.
+
+        Its link stays up, so it is never counted as lost; a turn has to
+        complete with the replies of the other members.
+        """
         with platform_hosts.Deployment() as hosts:
             for name in ('store-0', 'store-1', 'store-2'):
                 disk = hosts.keepers[name].disk
@@ -67,7 +79,11 @@
                 del disk.submit  # noqa: WPS420
 
     def test_too_few_store_hosts(self):
-        """Without a quorum a turn is refused, truly, and runs nowhere."""
+        """Without a quorum a turn is refused and not run.
+
+        A refusal with status 503 promises that no backend server has run the
+        turn.
+        """
         with platform_hosts.Deployment() as hosts:
             hosts.stop_keeper('store-1')
             hosts.stop_keeper('store-2')
@@ -77,7 +93,10 @@
             self.assertEqual(hosts.runs(attempt), 0)
 
     def test_a_lost_host_is_replaced(self):
-        """A host at another address takes a lost one's place."""
+        """A spare host at another address replaces a lost one.
+
+        Afterwards the loss of a second member must not lose a turn.
+        """
         with platform_hosts.Deployment() as hosts:
             turn = self.keep(hosts)
             hosts.stop_keeper('store-0')
@@ -93,7 +112,11 @@
             self.assertTrue(self.continues(hosts, turn))
 
     def test_a_host_is_emptied_into_a_spare(self):
-        """A retirement is completed once a spare host holds the records."""
+        """A retirement completes only once a spare host holds the records.
+
+        Stopping the retired host and another member afterwards loses a turn
+        if the retirement was reported too early.
+        """
         with platform_hosts.Deployment() as hosts:
             turn = self.keep(hosts)
             hosts.start_keeper('store-9')
@@ -104,7 +127,11 @@
             self.assertTrue(self.continues(hosts, turn))
 
     def test_a_host_is_emptied_without_a_spare(self):
-        """Without a spare, the others copy from each other first."""
+        """Without a spare host, the group shrinks without losing records.
+
+        The remaining members may each lack records, so they get all of them
+        before the retiring host leaves.
+        """
         with platform_hosts.Deployment() as hosts:
             turn = self.keep(hosts)
             hosts.store.put('retirements', 'store-0', {'DurationS': 10})
@@ -114,7 +141,11 @@
             self.assertTrue(self.continues(hosts, turn))
 
     def test_the_last_tokens_go_to_one(self):
-        """Turns that start together on two hosts don't share the rest."""
+        """Only one of two concurrent turns gets a budget's last tokens.
+
+        Two entry hosts reserve at the same time; both would succeed if the
+        quorums that they read the charges from did not intersect.
+        """
         with platform_hosts.Deployment(fronts=2) as hosts:
             for number in range(5):
                 program = f'race-{number}'
@@ -128,7 +159,11 @@
                 self.assertLessEqual(statuses.count(200), 1)
 
     def test_a_chain_that_no_member_holds_whole(self):
-        """Its parts are read from the members that have them."""
+        """A chain is assembled from the members that hold its parts.
+
+        Each store host is down for one turn, so none of them holds the whole
+        chain.
+        """
         with platform_hosts.Deployment() as hosts:
             hosts.stop_keeper('store-2')
             first = self.keep(hosts, body=b'one')
@@ -146,7 +181,7 @@
             self.assertIn(expected, bodies)
 
     def restart(self, hosts, name):
-        """Start a store host again and wait until it is reached."""
+        """Restart a store host and wait until the entry host is connected."""
         hosts.start_keeper(name)
         front = hosts.fronts['front-0']
         wait_until(
@@ -154,7 +189,11 @@
         )
 
     def test_a_change_of_the_group_during_a_turn(self):
-        """A turn waits while lost connections make way for a new member."""
+        """A turn that starts while all links are down waits for them.
+
+        Links are down for a moment when a lost member is replaced; refusing
+        the turn at once would fail callers during each such change.
+        """
         with platform_hosts.Deployment() as hosts:
             turn = self.keep(hosts)
             front = hosts.fronts['front-0']
@@ -165,7 +204,11 @@
             opened.join()
 
     def test_news_of_peers(self):
-        """A store host without the platform tells what its peers know."""
+        """A store host that can't reach the platform learns from its peers.
+
+        Otherwise it would keep serving outdated configurations and never
+        rejoin the group.
+        """
         with platform_hosts.Deployment(stores=2) as hosts:
             hosts.stop_keeper('store-0')
             cut_off = hosts.start_keeper('store-0', platform='127.0.0.1:9')
@@ -180,12 +223,12 @@
             )
 
     def reconnect(self, front):
-        """Let an entry host's links be used again."""
+        """Mark an entry host's links as connected again."""
         for link in front.links.all():
             link.is_connected = True
 
     def lose_disk(self, hosts, name):
-        """Empty a store host's disk and wait until it is a member again."""
+        """Wipe a store host's disk and wait until it is a member again."""
         disk = hosts.keepers[name].membership.disk
         hosts.stop_keeper(name)
         hosts.start_keeper(name, wiped=True)
@@ -193,7 +236,7 @@
         hosts.wait_for_members(3)
 
     def wait_for_retirement(self, hosts, node):
-        """Wait until a retirement is written as completed."""
+        """Wait until a retirement is reported as completed."""
         wait_until(
             lambda: (
                 (hosts.store.get('retirements', node)['Status'] or {}).get(
