--- a/src/carobfork/coordination/intents.py
+++ b/src/carobfork/coordination/intents.py
@@ -1,4 +1,8 @@
-"""Intents: recorded before a call that may not be repeated is sent."""
+"""Record the intent to send a service call before it is sent.
+
+This is done for operations that are not repeatable. A host that takes over
+a program finds the intent and knows that the call may have run.
+"""
 
 from carobfork import exceptions
 from carobfork.coordination import calls, homes, journals
@@ -9,28 +13,28 @@
 
 
 class IntentRecorder:
-    """Record intents, and withdraw those that are never acted on.
+    """Records intents and withdraws those of calls that were never sent.
 
-    :param home: whose journal holds them.
+    :param home: the programs and the journal that holds the intents.
     """
 
     def __init__(self, home: homes.Home) -> None:
-        """Start without intents."""
+        """Initialize without pending withdrawals."""
         self._home = home
         self._withdrawing: set[tuple[str, str]] = set()
 
     def require_not_withdrawing(self, call: calls.ServiceCall) -> None:
-        """Check that no withdrawal of the same call is being recorded.
+        """Check that no withdrawal of the call's intent is being recorded.
 
-        :raises NotRunError: one is; the call did not run.
+        :raises NotRunError: one is being recorded; the call did not run.
         """
         if (call.program, call.key) in self._withdrawing:
             raise _not_recorded()
 
     def record(self, call: calls.ServiceCall) -> None:
-        """Commit a call's intent.
+        """Record the intent of a call and wait for its commit.
 
-        :raises NotRunError: it may not; nothing must be sent.
+        :raises NotRunError: not committed in time; nothing may be sent.
         """
         journal = self._home.journal
         if journal.stalled:
@@ -51,10 +55,11 @@
             raise _not_recorded() from error
 
     def withdraw(self, call: calls.ServiceCall) -> None:
-        """Record that an intent will never be acted on.
+        """Record that the call of an intent will never be sent.
 
-        If this is lost, the call counts as unknown, and still never runs.
-        Until it is recorded, the key is refused as not run.
+        If the withdrawal is lost, the outcome of the call counts as unknown,
+        although it never runs. Until the withdrawal is recorded, calls with
+        the same key are refused as not run.
         """
         withdrawal = records.IntentWithdrawn(call.program, call.key)
         entry = self._home.journal.enqueue(withdrawal)
@@ -65,7 +70,7 @@
 
 def _not_recorded() -> exceptions.NotRunError:
     return exceptions.NotRunError(
-        'the intent could not be recorded',
+        'the intent of the call could not be recorded',
         step='record intent',
         peer='platform',
         retry_after_ms=RETRY_AFTER_MS,
--- a/src/carobfork/coordination/running_calls.py
+++ b/src/carobfork/coordination/running_calls.py
@@ -1,4 +1,4 @@
-"""Waits: service calls under way that several callers may wait for."""
+"""Service calls in flight, each with any number of waiting callers."""
 
 import gevent
 from gevent import event
@@ -9,41 +9,42 @@
 
 
 class RunningCall:
-    """A call under way.
+    """A service call in flight.
 
-    :param digest: what a repeated call must match.
+    :param digest: digest that a retry of the call must match.
     """
 
     def __init__(self, digest: str) -> None:
-        """Start before the call's turn."""
+        """Initialize a call that is queued and not dispatched."""
         self.digest = digest
         self.dispatched = event.Event()
-        """Set before anything may leave this host."""
+        """Set before anything of the call is sent to a backend server."""
         self._answered = event.AsyncResult()
         self._abandoned = False
 
     def require_not_abandoned(self) -> None:
-        """Check that no caller was told already that the call did not run.
+        """Check that no caller has been told that the call did not run.
 
-        :raises NotRunError: one was.
+        :raises NotRunError: a caller has been told so.
         """
         if self._abandoned:
             raise _not_dispatched()
 
     def finish(self, answer: records.AnswerRecorded) -> None:
-        """End the call with its recorded answer."""
+        """Complete the call with its recorded answer."""
         self._answered.set(answer)
 
     def fail(self, error: exceptions.CarobforkError) -> None:
-        """End the call with an error for every caller."""
+        """Complete the call with an error for every caller."""
         self._answered.set_exception(error)
 
     def wait(self, service: str, timeout_ms: int) -> records.AnswerRecorded:
-        """Wait for the call's turn, then for its answer.
+        """Wait until the call is dispatched, then for its answer.
 
-        :param timeout_ms: how long to wait for each.
-        :raises NotRunError: its turn did not come; it will not be sent.
-        :raises UnknownOutcomeError: it was sent and not answered in time.
+        :param service: name of the service, for error messages.
+        :param timeout_ms: time limit of each of the two waits.
+        :raises NotRunError: not dispatched in time; it will not be sent.
+        :raises UnknownOutcomeError: sent but not answered in time.
         """
         seconds = clock.to_seconds(timeout_ms)
         gevent.wait([self.dispatched, self._answered], seconds, count=1)
@@ -58,5 +59,5 @@
 
 def _not_dispatched() -> exceptions.NotRunError:
     return exceptions.NotRunError(
-        "the program's turn did not come in time", step='await turn'
+        'the call was not dispatched in time', step='await turn'
     )
--- a/src/carobfork/coordination/sequencers.py
+++ b/src/carobfork/coordination/sequencers.py
@@ -1,8 +1,8 @@
-"""Turns: the calls of one program run one at a time, in order.
+"""Run the calls of each program one at a time and in order.
 
-Calls queue in order of arrival. A call may name the call that it comes
-after; where that one has not arrived yet, by another host or because of a
-retry, it is waited for.
+Calls queue in order of arrival. A call may name its predecessor, the call
+that it must run after. The predecessor can arrive later than its successor,
+through another host or because it is retried, so it is waited for.
 """
 
 import collections
@@ -17,14 +17,17 @@
 from carobfork.state import programs
 
 MAX_QUEUED_CALLS = 64
-"""Most calls of one program that wait for their turn."""
+"""Maximum number of calls of one program, queued or running."""
 PREDECESSOR_TIMEOUT_MS = 1500
 _STEP = 'order'
 
 
 @attrs.frozen(eq=False)
 class Ticket:
-    """A call's place in its program's queue."""
+    """A call's place in its program's queue.
+
+    ``admitted`` is set when the call is first in the queue and may run.
+    """
 
     key: str
     admitted: event.Event = attrs.Factory(event.Event)
@@ -35,7 +38,7 @@
     tickets: collections.deque[Ticket] = attrs.Factory(collections.deque)
     changed: event.Event = attrs.Factory(event.Event)
     awaiting_predecessor: int = 0
-    """Calls whose predecessor has not arrived."""
+    """Number of calls whose predecessor has not arrived."""
 
     def __len__(self) -> int:
         return len(self.tickets) + self.awaiting_predecessor
@@ -47,25 +50,30 @@
 
 
 class CallSequencer:
-    """Queue calls by program; a semaphore would not promise their order."""
+    """A queue of calls for each program.
+
+    Semaphores are not used since they do not guarantee first-in, first-out
+    order.
+    """
 
     def __init__(self) -> None:
-        """Start with no call waiting."""
+        """Initialize without queued calls."""
         self._queues: dict[str, _CallQueue] = {}
 
     def is_idle(self, program: str) -> bool:
-        """Tell whether no call of a program waits or runs."""
+        """Return whether no call of a program is queued or running."""
         return program not in self._queues
 
     @contextlib.contextmanager
     def acquire(
         self, program: programs.Program, key: str, after: str
     ) -> Iterator[None]:
-        """Wait for the turn of a call and hold it.
+        """Wait until a call is first in its program's queue and hold it there.
 
-        :param after: key of the call that must come first, or nothing.
-        :raises OverloadedError: too many calls of the program wait.
-        :raises OutOfOrderError: the call that must come first never came.
+        :param key: the call's key; empty if this is not a call.
+        :param after: key of the predecessor; empty if there is none.
+        :raises OverloadedError: the program's queue is full.
+        :raises OutOfOrderError: the predecessor did not arrive in time.
         """
         queue = self._queues.setdefault(program.identifier, _CallQueue())
         try:
@@ -82,7 +90,8 @@
     ) -> Iterator[Ticket]:
         if len(queue) >= MAX_QUEUED_CALLS:
             raise exceptions.OverloadedError(
-                f'{len(queue)} calls of the program wait already', step=_STEP
+                f'the queue of the program is full: {len(queue)} calls',
+                step=_STEP,
             )
         _wait_for_predecessor(queue, program, after)
         ticket = Ticket(key)
@@ -109,7 +118,7 @@
     finally:
         queue.awaiting_predecessor -= 1
     raise exceptions.OutOfOrderError(
-        f'call "{after}", which must come first, has not arrived', step=_STEP
+        f'the preceding call "{after}" did not arrive in time', step=_STEP
     )
 
 
--- a/src/carobfork/coordination/service_calls.py
+++ b/src/carobfork/coordination/service_calls.py
@@ -1,8 +1,8 @@
-"""Service calls: those that may not be repeated run at most once.
+"""Send service calls, at most once where the operation is not repeatable.
 
-Such a call is sent only after its intent is committed. Once sent, it is
-never sent again: without an answer its outcome is unknown until the answer
-comes late, which is awaited beside the program's later calls.
+A call that is not repeatable is sent only after its intent is committed and
+is never sent again. If it is not answered in time, its outcome is unknown.
+A late answer is still awaited, concurrently with the program's later calls.
 """
 
 import random
@@ -33,11 +33,11 @@
 
 
 class ServiceCaller:
-    """Run service calls for the programs homed here.
+    """Runs service calls for the programs homed on this host.
 
     :param home: the programs and their journal.
-    :param backend: the plain services.
-    :param health: which of their servers to try first.
+    :param backend: client of the plain services.
+    :param health: health of the backend servers, for the order of attempts.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         backend: ports.ServiceBackend,
         health: backends.BackendHealth,
     ) -> None:
-        """Start without calls under way."""
+        """Initialize without calls in flight."""
         self._home = home
         self._backend = backend
         self._health = health
@@ -55,15 +55,15 @@
 
     @property
     def in_flight(self) -> int:
-        """How many calls wait for their turn or an answer."""
+        """Number of calls that are queued or wait for an answer."""
         return len(self.running)
 
     def run(self, call: calls.ServiceCall) -> records.AnswerRecorded:
-        """Run a call, join it under way, or return its recorded answer.
+        """Run a call, join it if in flight, or return its recorded answer.
 
-        :raises BadRequestError: the call is refused, nothing ran.
+        :raises BadRequestError: the call is invalid; nothing ran.
         :raises NotRunError: nothing was sent.
-        :raises UnknownOutcomeError: sent, and not answered in time.
+        :raises UnknownOutcomeError: sent but not answered in time.
         """
         program = self._home.authorise(call.program, call.token)
         operation = self._operation(call)
@@ -86,7 +86,7 @@
     ) -> running_calls.RunningCall:
         if self.in_flight >= MAX_RUNNING_CALLS:
             raise exceptions.OverloadedError(
-                'too many service calls are under way',
+                f'{self.in_flight} service calls are in flight already',
                 step='admit',
                 peer=call.service,
             )
@@ -102,7 +102,11 @@
         call: calls.ServiceCall,
         operation: bundles.Operation,
     ) -> None:
-        """Run a call in its turn; a late answer is awaited beyond it."""
+        """Run a call in the order of its program.
+
+        The program's next call may start once the operation's timeout has
+        passed; a late answer is awaited in another greenlet.
+        """
         try:
             with self._home.in_sequence(program, call.key, call.after):
                 with self._home.reservation(program, tokens=0):
@@ -121,7 +125,7 @@
         error: Exception,
     ) -> None:
         if running.dispatched.is_set():
-            logger.warning('A call met an error late.', error=str(error))
+            logger.warning('A call failed after dispatch.', error=str(error))
             return
         running.fail(_as_not_run(error))
         self.running.pop((call.program, call.key), None)
@@ -133,7 +137,7 @@
         call: calls.ServiceCall,
         operation: bundles.Operation,
     ) -> None:
-        """Do all that must be done before anything is sent."""
+        """Check ownership and record the intent before anything is sent."""
         self._home.confirm_owned(program)
         running.require_not_abandoned()
         if operation.repeatable:
@@ -155,7 +159,7 @@
         call: calls.ServiceCall,
         operation: bundles.Operation,
     ) -> None:
-        """Send a call once, and record its answer whenever it comes."""
+        """Send a call and record its answer, however late it arrives."""
         try:
             answer = self._exchange(call, operation)
         except exceptions.NotRunError as error:
@@ -163,7 +167,7 @@
                 self._intents.withdraw(call)
             running.fail(error)
         except Exception as error:
-            logger.warning('A call has no answer.', error=str(error))
+            logger.warning('A call was not answered.', error=str(error))
             running.fail(calls.unknown_outcome(call.service))
         else:
             self._record_answer(running, program, answer)
@@ -176,7 +180,7 @@
         program: programs.Program,
         answer: records.AnswerRecorded,
     ) -> None:
-        """Record an answer, however long it takes, and then give it out."""
+        """Record an answer without a time limit, then return it to callers."""
         try:
             self._record_durably(program, answer)
         except Exception as error:
@@ -193,7 +197,7 @@
             try:
                 entry = self._home.journal.enqueue(answer)
             except exceptions.PlatformError:
-                # Too much waits for the platform already; try again.
+                # The journal's backlog is full.
                 gevent.sleep(clock.to_seconds(_RECORD_RETRY_DELAY_MS))
                 continue
             journals.wait_for(entry.kept, timeout_ms=None)
@@ -230,7 +234,10 @@
         request: ports.ServiceRequest,
         operation: bundles.Operation,
     ) -> tuple[bundles.Server, ports.ServiceReply]:
-        """Send a call to one server after another until one takes it."""
+        """Try servers in turn until one accepts the call.
+
+        After an unknown outcome only a repeatable call is tried again.
+        """
         errors: list[exceptions.CarobforkError] = []
         for server in self._candidate_servers(call):
             try:
@@ -265,7 +272,7 @@
             if error.sent:
                 raise calls.unknown_outcome(server.name) from error
             raise exceptions.NotRunError(
-                'the service could not be reached',
+                f'server "{server.name}" could not be reached',
                 step='connect',
                 peer=server.name,
             ) from error
@@ -278,7 +285,7 @@
             if (operation.method, operation.path) == (call.method, call.path):
                 return operation
         raise exceptions.BadRequestError(
-            f'the bundle lists no operation {call.method} {call.path}',
+            f'the bundle has no operation "{call.method} {call.path}"',
             step='look up',
             peer=call.service,
         )
@@ -287,10 +294,10 @@
 def _most_severe(
     errors: list[exceptions.CarobforkError],
 ) -> exceptions.CarobforkError:
-    """Return the error that a call ends with after several attempts.
+    """Return the error to report after all attempts failed.
 
-    What was sent once may have run, so an unknown outcome outweighs servers
-    that could not be reached.
+    A call that was sent once may have run, so an unknown outcome takes
+    precedence over servers that could not be reached.
     """
     for refusal in errors:
         if refusal.outcome is exceptions.Outcome.unknown:
@@ -299,9 +306,11 @@
 
 
 def _as_not_run(error: Exception) -> exceptions.CarobforkError:
-    """Return what a failure before dispatch tells: nothing ran."""
+    """Convert a failure before dispatch to an error saying nothing ran."""
     if isinstance(error, exceptions.CarobforkError):
         if error.outcome is exceptions.Outcome.not_run:
             return error
     logger.warning('A call was not sent.', error=str(error))
-    return exceptions.NotRunError('the call was not sent', step='prepare')
+    return exceptions.NotRunError(
+        f'the call was not sent: {error}', step='prepare'
+    )
