--- a/src/carobfork/coordination/dispatchers.py
+++ b/src/carobfork/coordination/dispatchers.py
@@ -55,7 +55,9 @@
         self.workers = worker_tables.WorkerTable(timer)
         self._timer = timer
         self._isolation = isolations.WorkerIsolation(bundle.ranks, timer)
-        self._account = accounts.DeficitAccount(lambda: self.backlog.waiting_ranks())
+        self._account = accounts.DeficitAccount(
+            lambda: self.backlog.waiting_ranks()
+        )
         self.apply_bundle(pool, bundle)
 
     def apply_bundle(self, pool: pools.Pool, bundle: bundles.Bundle) -> None:
