--- a/src/carobfork/storage/presences.py
+++ b/src/carobfork/storage/presences.py
@@ -102,11 +102,11 @@
         """Record reports that another store host forwarded."""
         now_ms = self._timer.now_ms()
         for presence in presences:
-            known = self._observations.get(presence.node)
+            previous = self._observations.get(presence.node)
             has_recent_direct = (
-                known is not None
-                and known.is_direct
-                and now_ms - known.received_ms <= DIRECT_PRECEDENCE_MS
+                previous is not None
+                and previous.is_direct
+                and now_ms - previous.received_ms <= DIRECT_PRECEDENCE_MS
             )
             if not has_recent_direct:
                 self._observations[presence.node] = _Observation(
--- a/tests/test_presences.py
+++ b/tests/test_presences.py
@@ -40,10 +40,10 @@
         """Totals include the calls of all hosts except the receiver's own."""
         self.near.record(presence('a', calls=2), NEWS)
         self.report()
-        told = self.far.record(presence('b', calls=3), NEWS)
-        self.assertEqual(told.in_flight, {'e0': 2})
-        self.assertEqual(told.waiting, {'engines': 2})
-        self.assertEqual(set(told.hosts), {'a', 'b'})
+        reply = self.far.record(presence('b', calls=3), NEWS)
+        self.assertEqual(reply.in_flight, {'e0': 2})
+        self.assertEqual(reply.waiting, {'engines': 2})
+        self.assertEqual(set(reply.hosts), {'a', 'b'})
 
     def test_calls_that_wait_elsewhere_hurry_reports(self):
         """A store host learns of waiting calls through forwarded reports too.
@@ -60,12 +60,12 @@
     def test_suspects(self):
         """Suspicions of other hosts are counted, the receiver's own are not."""
         for node in 'ab':
-            told = attrs.evolve(presence(node), suspects=['e0'])
-            self.near.record(told, NEWS)
+            report = attrs.evolve(presence(node), suspects=['e0'])
+            self.near.record(report, NEWS)
         self.report()
-        told = attrs.evolve(presence('c'), suspects=['e0', 'e1'])
-        answer = self.far.record(told, NEWS)
-        self.assertEqual(answer.suspects, {'e0': 2})
+        report = attrs.evolve(presence('c'), suspects=['e0', 'e1'])
+        reply = self.far.record(report, NEWS)
+        self.assertEqual(reply.suspects, {'e0': 2})
 
     def test_own_calls_are_taken_off_as_they_were_counted(self):
         """A host's own calls are subtracted as the cached totals include them.
@@ -74,8 +74,8 @@
         its own calls as calls of other hosts.
         """
         self.near.record(presence('a', calls=2), NEWS)
-        told = self.near.record(presence('a', calls=1), NEWS)
-        self.assertEqual(told.in_flight, {})
+        reply = self.near.record(presence('a', calls=1), NEWS)
+        self.assertEqual(reply.in_flight, {})
 
     def test_a_host_that_falls_silent(self):
         """A silent host expires everywhere, though reports continue.
@@ -88,8 +88,8 @@
             self.timer.advance(250)
             self.near.record(presence('c'), NEWS)
             self.report()
-        told = self.far.record(presence('b'), NEWS)
-        self.assertEqual(set(told.hosts), {'b', 'c'})
+        reply = self.far.record(presence('b'), NEWS)
+        self.assertEqual(set(reply.hosts), {'b', 'c'})
 
     def test_a_direct_word_stands_against_reports(self):
         """A recent direct report takes precedence over a forwarded one.
@@ -100,8 +100,8 @@
         self.near.record(presence('a', calls=9), NEWS)
         self.far.record(presence('a', calls=1), NEWS)
         self.report()
-        told = self.far.record(presence('b'), NEWS)
-        self.assertEqual(told.in_flight, {'e0': 1})
+        reply = self.far.record(presence('b'), NEWS)
+        self.assertEqual(reply.in_flight, {'e0': 1})
 
     def test_known_hosts_are_not_told_again(self):
         """A host that knows the set's version does not get the set again."""
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -8,14 +8,14 @@
 AFTER = snapshots.Snapshot(8, {'a': (2, b'a'), 'c': (7, b'c')})
 
 
-class NotesTest(unittest.TestCase):
+class SnapshotsTest(unittest.TestCase):
     """Two hosts, one of which has an older snapshot."""
 
     def test_only_changes_are_told(self):
         """A delta names unchanged objects but does not contain them."""
-        change = AFTER.delta_since(5)
-        self.assertEqual(change.entries, {'c': (7, b'c')})
-        self.assertEqual(BEFORE.apply(change), AFTER)
+        delta = AFTER.delta_since(5)
+        self.assertEqual(delta.entries, {'c': (7, b'c')})
+        self.assertEqual(BEFORE.apply(delta), AFTER)
 
     def test_a_change_that_leaves_too_much_out(self):
         """A delta that omits objects unknown here is not applied.
@@ -23,19 +23,17 @@
         Applying it would drop these objects until their next change; the host
         has to request the full snapshot.
         """
-        notebook = snapshots.SnapshotCache()
-        renewed, is_whole = notebook.merge({'k': AFTER.delta_since(5)})
-        self.assertEqual((renewed, is_whole), ([], False))
-        renewed, is_whole = notebook.merge({'k': AFTER.delta_since(-1)})
-        self.assertEqual((renewed, is_whole), (['k'], True))
+        cache = snapshots.SnapshotCache()
+        updated_kinds, is_complete = cache.merge({'k': AFTER.delta_since(5)})
+        self.assertEqual((updated_kinds, is_complete), ([], False))
+        updated_kinds, is_complete = cache.merge({'k': AFTER.delta_since(-1)})
+        self.assertEqual((updated_kinds, is_complete), (['k'], True))
 
     def test_older_notes_change_nothing(self):
         """Snapshots and deltas of a host that lags behind are ignored."""
-        notebook = snapshots.SnapshotCache({'k': AFTER})
-        self.assertFalse(notebook.put('k', BEFORE))
-        self.assertEqual(
-            notebook.merge({'k': BEFORE.delta_since(-1)}), ([], True)
-        )
-        self.assertFalse(notebook.is_behind({'k': 5}))
-        self.assertTrue(notebook.is_behind({'other': 1}))
-        self.assertEqual(notebook.deltas_since({'k': 8}), {})
+        cache = snapshots.SnapshotCache({'k': AFTER})
+        self.assertFalse(cache.put('k', BEFORE))
+        self.assertEqual(cache.merge({'k': BEFORE.delta_since(-1)}), ([], True))
+        self.assertFalse(cache.is_behind({'k': 5}))
+        self.assertTrue(cache.is_behind({'other': 1}))
+        self.assertEqual(cache.deltas_since({'k': 8}), {})
--- a/tests/test_storage_hosts.py
+++ b/tests/test_storage_hosts.py
@@ -11,7 +11,9 @@
 class StorageHostsTest(unittest.TestCase):
     """Deployments whose store hosts are lost, replaced and retired."""
 
-    def keep(self, hosts, program='p1', previous='', body=b'kept', **options):
+    def run_turn(
+        self, hosts, program='p1', previous='', body=b'kept', **options
+    ):
         """Run a turn that is stored and return its attempt."""
         attempt = plain_calls.new_attempt()
         headers = {'X-Previous-Turn': previous} if previous else {}
@@ -21,7 +23,7 @@
         self.assertEqual(answer.status, 200)
         return attempt
 
-    def continues(self, hosts, previous, **options):
+    def can_continue(self, hosts, previous, **options):
         """Return whether a turn can be continued."""
         headers = {'X-Previous-Turn': previous}
         return hosts.turn('p1', headers=headers, **options).status == 200
@@ -33,12 +35,12 @@
         otherwise the next loss removes the last copy of a turn.
         """
         with platform_hosts.Deployment() as hosts:
-            turns = [self.keep(hosts)]
+            turns = [self.run_turn(hosts)]
             for name in ('store-0', 'store-1', 'store-2'):
-                self.lose_disk(hosts, name)
-                turns.append(self.keep(hosts, previous=turns[-1]))
+                self.wipe_disk(hosts, name)
+                turns.append(self.run_turn(hosts, previous=turns[-1]))
             for turn in turns:
-                self.assertTrue(self.continues(hosts, turn))
+                self.assertTrue(self.can_continue(hosts, turn))
 
     def test_all_restart(self):
         """Turns and charges survive a restart of all processes.
@@ -47,22 +49,22 @@
         or if the index were not rebuilt from the disk.
         """
         with platform_hosts.Deployment() as hosts:
-            turn = self.keep(hosts, budget=100, most=40)
+            turn = self.run_turn(hosts, budget=100, most=40)
             hosts.stop_front('front-0')
             for name in list(hosts.keepers):
                 hosts.stop_keeper(name)
             for number in range(3):
                 hosts.start_keeper(f'store-{number}')
             hosts.start_front('front-1')
-            self.assertTrue(self.continues(hosts, turn, budget=100, most=40))
+            self.assertTrue(self.can_continue(hosts, turn, budget=100, most=40))
             self.assertEqual(hosts.turn('p1', budget=100).status, 402)
 
     def test_a_minority_is_enough_to_lose(self):
         """With one of three store hosts down, turns run and are stored."""
         with platform_hosts.Deployment() as hosts:
             hosts.stop_keeper('store-1')
-            turn = self.keep(hosts)
-            self.assertTrue(self.continues(hosts, turn))
+            turn = self.run_turn(hosts)
+            self.assertTrue(self.can_continue(hosts, turn))
 
     def test_a_hung_disk(self):
         """A store host that is connected but can't write delays no turn.
@@ -74,8 +76,8 @@
             for name in ('store-0', 'store-1', 'store-2'):
                 disk = hosts.keepers[name].disk
                 disk.submit = lambda _submission: None
-                turn = self.keep(hosts)
-                self.assertTrue(self.continues(hosts, turn))
+                turn = self.run_turn(hosts)
+                self.assertTrue(self.can_continue(hosts, turn))
                 del disk.submit  # noqa: WPS420
 
     def test_too_few_store_hosts(self):
@@ -98,7 +100,7 @@
         Afterwards the loss of a second member must not lose a turn.
         """
         with platform_hosts.Deployment() as hosts:
-            turn = self.keep(hosts)
+            turn = self.run_turn(hosts)
             hosts.stop_keeper('store-0')
             hosts.start_keeper('store-9')
             wait_until(
@@ -109,7 +111,7 @@
                 'the replacement',
             )
             hosts.stop_keeper('store-1')
-            self.assertTrue(self.continues(hosts, turn))
+            self.assertTrue(self.can_continue(hosts, turn))
 
     def test_a_host_is_emptied_into_a_spare(self):
         """A retirement completes only once a spare host holds the records.
@@ -118,13 +120,13 @@
         if the retirement was reported too early.
         """
         with platform_hosts.Deployment() as hosts:
-            turn = self.keep(hosts)
+            turn = self.run_turn(hosts)
             hosts.start_keeper('store-9')
             hosts.store.put('retirements', 'store-0', {'DurationS': 10})
             self.wait_for_retirement(hosts, 'store-0')
             hosts.stop_keeper('store-0')
             hosts.stop_keeper('store-1')
-            self.assertTrue(self.continues(hosts, turn))
+            self.assertTrue(self.can_continue(hosts, turn))
 
     def test_a_host_is_emptied_without_a_spare(self):
         """Without a spare host, the group shrinks without losing records.
@@ -133,12 +135,12 @@
         before the retiring host leaves.
         """
         with platform_hosts.Deployment() as hosts:
-            turn = self.keep(hosts)
+            turn = self.run_turn(hosts)
             hosts.store.put('retirements', 'store-0', {'DurationS': 10})
             self.wait_for_retirement(hosts, 'store-0')
             hosts.stop_keeper('store-0')
             self.assertEqual(len(hosts.group()['members']), 2)
-            self.assertTrue(self.continues(hosts, turn))
+            self.assertTrue(self.can_continue(hosts, turn))
 
     def test_the_last_tokens_go_to_one(self):
         """Only one of two concurrent turns gets a budget's last tokens.
@@ -166,13 +168,13 @@
         """
         with platform_hosts.Deployment() as hosts:
             hosts.stop_keeper('store-2')
-            first = self.keep(hosts, body=b'one')
+            first = self.run_turn(hosts, body=b'one')
             self.restart(hosts, 'store-2')
             hosts.stop_keeper('store-1')
-            second = self.keep(hosts, previous=first, body=b'two')
+            second = self.run_turn(hosts, previous=first, body=b'two')
             self.restart(hosts, 'store-1')
             hosts.stop_keeper('store-0')
-            third = self.keep(hosts, previous=second, body=b'three')
+            third = self.run_turn(hosts, previous=second, body=b'three')
             bodies = [
                 backend.bodies.get(third) for backend in hosts.backends.values()
             ]
@@ -195,12 +197,12 @@
         the turn at once would fail callers during each such change.
         """
         with platform_hosts.Deployment() as hosts:
-            turn = self.keep(hosts)
+            turn = self.run_turn(hosts)
             front = hosts.fronts['front-0']
             for link in front.links.all():
                 link.is_connected = False
-            opened = gevent.spawn_later(0.1, self.reconnect, front)
-            self.assertTrue(self.continues(hosts, turn))
+            opened = gevent.spawn_later(0.1, self.mark_connected, front)
+            self.assertTrue(self.can_continue(hosts, turn))
             opened.join()
 
     def test_news_of_peers(self):
@@ -222,12 +224,12 @@
                 'the configuration at the store host that is cut off',
             )
 
-    def reconnect(self, front):
+    def mark_connected(self, front):
         """Mark an entry host's links as connected again."""
         for link in front.links.all():
             link.is_connected = True
 
-    def lose_disk(self, hosts, name):
+    def wipe_disk(self, hosts, name):
         """Wipe a store host's disk and wait until it is a member again."""
         disk = hosts.keepers[name].membership.disk
         hosts.stop_keeper(name)
