--- a/src/carobfork/coordination/attempts.py
+++ b/src/carobfork/coordination/attempts.py
@@ -1,9 +1,10 @@
-"""Attempts: send a model call to engines until one answers it whole.
+"""Send a model call to backend servers until one answers it completely.
 
-Another attempt is made only while no event of the answer has come. From
-then on the stream is resumed by the attempt's identifier, or lost: two
-attempts' texts are never joined. The identifier follows from the program,
-the key and the attempt's number, so a successor can resume the stream too.
+A further attempt is made only if no event of the answer has arrived. After
+the first event the stream is resumed under the attempt's identifier or
+reported as lost, so that the texts of two attempts are never joined. The
+identifier is derived from the program, the call's key and the attempt's
+number, so a host that takes the program over can resume the stream too.
 """
 
 import contextlib
@@ -46,7 +47,12 @@
 
 
 def attempt_identifier(program: str, key: str, number: int) -> str:
-    """Return the identifier under which engines know an attempt."""
+    """Return the identifier of an attempt at the model engines.
+
+    :param program: identifier of the program.
+    :param key: key of the call.
+    :param number: number of the attempt within the call, from 1.
+    """
     parts = (program, key, str(number))
     name = identifiers.digest(*(part.encode() for part in parts))
     return name[:_IDENTIFIER_LENGTH]
@@ -54,10 +60,10 @@
 
 @attrs.frozen(eq=False)
 class ModelTask:
-    """A model call that has its turn.
+    """A model call that is first in its program's queue.
 
-    ``reserved_tokens`` is the most that one attempt can take. ``offset`` is
-    how much of the answer its caller has, in bytes.
+    ``reserved_tokens`` is the maximum that one attempt can use. ``offset``
+    is the length in bytes of the text that the caller has received.
     """
 
     run: runs.ModelRun
@@ -70,33 +76,36 @@
 
 
 class AttemptRunner:
-    """Run the attempts at model calls.
+    """Runs the attempts of model calls.
 
-    :param home: the programs, their slots and their journal.
-    :param backend: the model engines.
+    :param home: the programs of this host, their slots and their journal.
+    :param backend: client of the model engines.
     """
 
     def __init__(self, home: homes.Home, backend: ports.ModelBackend) -> None:
-        """Remember whom to ask."""
+        """Initialize the counters of attempts and resumed streams."""
         self.failed_attempts = 0
         self.resumed_streams = 0
         self._home = home
         self._backend = backend
 
     def run(self, task: ModelTask) -> records.AnswerRecorded:
-        """Resume the call's last attempt, or make new ones.
-
-        :raises StreamLostError: the caller's part can not be continued.
-        :raises BudgetExceededError: the budget covers no attempt.
-        :raises NotRunError: no engine could be reached.
-        :raises UnknownOutcomeError: engines broke off.
+        """Resume the call's last attempt, or make new attempts.
+
+        :raises StreamLostError: if the stream cannot be continued from
+            where the caller has read it.
+        :raises BudgetExceededError: if the budget does not cover an attempt.
+        :raises NotRunError: if no engine accepted the call.
+        :raises UnknownOutcomeError: if an engine may have run the call, but
+            no complete answer was received and recorded.
         """
         last = task.program.dispatched.get(task.call.key)
         if last is not None and self._resume_dispatched(task, last):
             return self._record_answer(task, last)
         if task.offset:
             raise _stream_lost(
-                'the stream is not known any more', task.call.model
+                f'no stream to resume from offset {task.offset}',
+                task.call.model,
             )
         first_number = last.attempt + 1 if last else 1
         return self._try_workers(task, first_number)
@@ -142,7 +151,7 @@
                 )
                 self._home.confirm_owned(task.program)
                 self._home.enqueue_record(task.program, dispatched)
-                # From here on records alone settle the reservation.
+                # The reservation is now settled by the call's records only.
                 rollback.pop_all()
                 self._stream(task, dispatched, prompt, slot)
                 answer = self._backend.decode(task.run.raw_events())
@@ -172,7 +181,10 @@
     def _resume_dispatched(
         self, task: ModelTask, dispatched: spending.CallDispatched
     ) -> bool:
-        """Take up the stream that another host began, and tell whether."""
+        """Resume the stream of an attempt that was dispatched earlier.
+
+        Return whether it was resumed; if not, a new attempt may be made.
+        """
         worker = self._find_worker(task, dispatched)
         task.run.worker = worker.name
         try:
@@ -207,7 +219,7 @@
         worker: bundles.Worker,
         dispatched: spending.CallDispatched,
     ) -> Iterator[None]:
-        """Cancel an attempt that is left early, at its engine."""
+        """Cancel an attempt at its engine if it ends with an error."""
         try:
             yield
         except exceptions.LeavingError:
@@ -240,8 +252,9 @@
             attempt=dispatched.attempt,
             tokens=dispatched.reserved_tokens if may_be_running else 0,
         )
-        # Only the owner of the journal may cancel: once taken over, the
-        # stream is its successor's. Without a commit the engine ends it.
+        # Only the owner of the journal may cancel: after a takeover the
+        # stream belongs to the successor. If the record is not committed,
+        # the engine ends the stream by itself.
         with contextlib.suppress(exceptions.CarobforkError):
             entry = self._home.enqueue_record(program, failure)
             journals.wait_for(entry.committed, CANCEL_COMMIT_TIMEOUT_MS)
@@ -266,7 +279,7 @@
         try:
             self._home.record(task.program, record, ANSWER_RECORD_TIMEOUT_MS)
         except exceptions.CarobforkError as error:
-            # The engine ran it, so it must not be reported as not run.
+            # The engine ran the call, so it is not reported as not run.
             raise calls.unknown_outcome(record.target) from error
         return record
 
--- a/src/carobfork/coordination/backends.py
+++ b/src/carobfork/coordination/backends.py
@@ -1,8 +1,9 @@
-"""Backends: which backend servers may get new work.
+"""Track the health of backend servers and decide which may get new calls.
 
-The platform's list of leaving servers lags, so what the servers themselves
-answer counts beside it. A server without progress counts as stalled however
-many connections it accepts: progress is an answer or part of one.
+The platform's list of leaving servers lags behind, so a server's own answers
+count as well. A server with requests in progress that makes no progress is
+stalled, however many connections it accepts. Progress is an answer or a part
+of one.
 """
 
 import enum
@@ -27,7 +28,7 @@
 
 
 class ServerState(enum.StrEnum):
-    """What the platform's list says of a backend server."""
+    """State of a backend server in the platform's list."""
 
     live = 'live'
     leaving = 'leaving'
@@ -35,15 +36,18 @@
 
 @attrs.frozen
 class BackendList:
-    """The platform's list of backend servers; it lags behind reality."""
+    """The platform's list of backend servers.
+
+    It lags behind the actual state of the servers.
+    """
 
     servers: dict[str, ServerState]
 
     @classmethod
     def parse(cls, body: bytes) -> 'BackendList':
-        """Parse the list's object.
+        """Parse the JSON object that holds the list.
 
-        :raises SettingsError: the object has another form.
+        :raises SettingsError: if it is malformed.
         """
         try:
             return _converter.structure(json.loads(body), cls)
@@ -56,7 +60,7 @@
 
 @attrs.define
 class _ServerHealth:
-    """What is known of one server."""
+    """Health of one backend server."""
 
     listed_leaving: bool = False
     leaving_until_ms: float = 0
@@ -64,28 +68,28 @@
     retry_at_ms: float = 0
     in_progress: int = 0
     last_progress_ms: float = 0
-    """When the server last answered something, or became busy."""
+    """Time of the last progress, or of the first request after idleness."""
 
 
 class BackendHealth:
-    """Remember failures, stalls and leaving servers.
+    """Holds the failures, stalls and leaving states of backend servers.
 
-    :param timer: measures spans.
+    :param timer: monotonic clock.
     """
 
     def __init__(self, timer: clock.Clock) -> None:
-        """Start believing every server usable."""
+        """Initialize with every server usable."""
         self._timer = timer
         self._servers: dict[str, _ServerHealth] = {}
 
     def apply_bundle(self, bundle: bundles.Bundle) -> None:
-        """Forget the servers that a bundle no longer lists."""
+        """Remove the servers that a bundle does not list."""
         listed = set(_server_names(bundle))
         for name in self._servers.keys() - listed:
             self._servers.pop(name)
 
     def apply_list(self, listed: BackendList) -> None:
-        """Take over the platform's list."""
+        """Update which servers the platform lists as leaving."""
         leaving = {
             name
             for name, state in listed.servers.items()
@@ -97,24 +101,28 @@
             health.listed_leaving = known in leaving
 
     def begin_request(self, name: str) -> None:
-        """Note that a server has one more request."""
+        """Count a request that starts at a server."""
         health = self._health_of(name)
         if not health.in_progress:
             health.last_progress_ms = self._timer.now_ms()
         health.in_progress += 1
 
     def end_request(self, name: str) -> None:
-        """Note that a request ended, however it did."""
+        """Count a request that ended, with or without an answer."""
         self._health_of(name).in_progress -= 1
 
     def record_progress(self, name: str) -> None:
-        """Note that a server answered something."""
+        """Record an answer or a part of one and reset the failures."""
         health = self._health_of(name)
         health.last_progress_ms = self._timer.now_ms()
         health.failures = 0
 
     def record_failure(self, name: str) -> None:
-        """Note that a server refused, broke off or stayed silent."""
+        """Record that a server was unreachable, broke off or did not answer.
+
+        Each failure in a row doubles the delay before the server is tried
+        again, up to ``MAX_RETRY_DELAY_MS``.
+        """
         health = self._health_of(name)
         doublings = min(health.failures, _MAX_DOUBLINGS)
         health.failures += 1
@@ -123,12 +131,15 @@
         logger.info('A server failed.', peer=name, failures=health.failures)
 
     def mark_leaving(self, name: str) -> None:
-        """Note that a server itself said that it leaves."""
+        """Record that a server's own answer said that it is leaving.
+
+        This holds for ``LEAVING_TTL_MS``.
+        """
         health = self._health_of(name)
         health.leaving_until_ms = self._timer.now_ms() + LEAVING_TTL_MS
 
     def is_leaving(self, name: str) -> bool:
-        """Tell whether a server is listed as leaving or said so."""
+        """Return whether a server is listed as leaving or has said so."""
         health = self._servers.get(name)
         if health is None:
             return False
@@ -136,10 +147,10 @@
         return health.listed_leaving or now_ms < health.leaving_until_ms
 
     def is_usable(self, name: str) -> bool:
-        """Tell whether a server may get new work.
+        """Return whether a server may get new calls.
 
-        One that failed may get some again after a pause, in which a single
-        request shows whether it has recovered.
+        After a failure and the delay that follows it, a server gets a single
+        request, which shows whether it has recovered.
         """
         health = self._servers.get(name)
         if health is None:
@@ -152,7 +163,7 @@
         return is_idle and self._timer.now_ms() >= health.retry_at_ms
 
     def unusable(self) -> list[str]:
-        """Return the servers that may get no new work, for the state dump."""
+        """Return the servers that may not get new calls, for the state dump."""
         return [name for name in self._servers if not self.is_usable(name)]
 
     def _is_stalled(self, health: _ServerHealth) -> bool:
@@ -166,12 +177,12 @@
 def order_servers(
     servers: Sequence[bundles.Server], health: BackendHealth
 ) -> list[bundles.Server]:
-    """Return the servers to try, those believed usable first.
+    """Return the servers to try, usable ones first.
 
-    Servers that failed come last rather than never, since this host may be
-    wrong about them; leaving ones are left out.
+    Servers that failed are put last and not removed, since this host may be
+    wrong about them. Leaving servers are removed.
 
-    :raises NotRunError: all servers are leaving.
+    :raises NotRunError: if all servers are leaving.
     """
     staying = [
         server for server in servers if not health.is_leaving(server.name)
--- a/src/carobfork/coordination/calls.py
+++ b/src/carobfork/coordination/calls.py
@@ -1,4 +1,4 @@
-"""Calls: what callers ask for, and the checks common to all kinds."""
+"""Define the calls of callers and the checks common to all kinds of calls."""
 
 import hmac
 
@@ -10,11 +10,11 @@
 
 @attrs.frozen
 class ModelCall:
-    """A model call as a caller sends it.
+    """A model call as sent by a caller.
 
-    ``messages`` are the new messages only, as comma-separated JSON objects;
-    the program's history goes before them. ``options`` is a JSON object with
-    the remaining fields of the request.
+    ``messages`` holds only the new messages, as comma-separated JSON
+    objects; the program's history is put before them. ``options`` is a JSON
+    object with the remaining fields of the request.
     """
 
     program: str
@@ -25,11 +25,11 @@
     options: bytes
     max_tokens: int
     after: str = ''
-    """Key of the call that must come first, or nothing."""
+    """Key of the predecessor; empty if there is none."""
 
     @property
     def digest(self) -> str:
-        """Return what a repeated call must match."""
+        """Digest that a retry under the same key must match."""
         return identifiers.digest(
             self.model.encode(), self.messages, self.options
         )
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class ServiceCall:
-    """A service call as a caller sends it."""
+    """A service call as sent by a caller."""
 
     program: str
     token: str
@@ -48,32 +48,32 @@
     body: bytes
     content_type: str
     after: str = ''
-    """Key of the call that must come first, or nothing."""
+    """Key of the predecessor; empty if there is none."""
 
     @property
     def digest(self) -> str:
-        """Return what a repeated call must match."""
+        """Digest that a retry under the same key must match."""
         target = f'{self.method} {self.service} {self.path}'
         return identifiers.digest(target.encode(), self.body)
 
 
 def authorise(program: programs.Program, token: str) -> None:
-    """Check that a token opens a program.
+    """Check that a token is valid for a program.
 
-    :raises ForbiddenError: it does not.
+    :raises ForbiddenError: if it is not.
     """
     offered = identifiers.digest(token.encode())
     if not hmac.compare_digest(offered, program.token_digest):
         raise exceptions.ForbiddenError(
-            'the token does not open this program', step='authorise'
+            'the token is not valid for this program', step='authorise'
         )
 
 
 def require_open(program: programs.Program) -> None:
-    """Check that a program takes calls.
+    """Check that a program accepts calls.
 
-    :raises BudgetExceededError: it ended because its time is spent.
-    :raises ProgramClosedError: it has ended for another reason.
+    :raises BudgetExceededError: if it ended because its time is spent.
+    :raises ProgramClosedError: if it ended for another reason.
     """
     reason = program.closed_reason or program.ending_reason
     if reason == programs.TIME_SPENT_REASON:
@@ -87,9 +87,12 @@
 
 
 def match_digest(key: str, recorded: str, asked: str) -> None:
-    """Check that a repeated key comes with the same request.
+    """Check that a call key is used again only for the same request.
 
-    :raises KeyReuseError: it does not.
+    :param key: the call's key.
+    :param recorded: digest of the call that is known under the key.
+    :param asked: digest of the new call.
+    :raises KeyReuseError: if the digests differ.
     """
     if recorded != asked:
         raise exceptions.KeyReuseError(
@@ -100,10 +103,11 @@
 def recorded_answer(
     program: programs.Program, key: str, digest: str
 ) -> records.AnswerRecorded | None:
-    """Return the answer recorded under a key, if there is one.
+    """Return the answer recorded under a key, or None.
 
-    :raises KeyReuseError: the key was used with another request.
-    :raises UnknownOutcomeError: the call was sent, its outcome is unknown.
+    :raises KeyReuseError: if the key was used for another request.
+    :raises UnknownOutcomeError: if the call may have been sent but has no
+        recorded answer.
     """
     call = program.calls.get(key)
     if call is None:
@@ -115,7 +119,10 @@
 
 
 def unknown_outcome(target: str) -> exceptions.UnknownOutcomeError:
-    """Return the error for a call that was sent and not answered."""
+    """Return the error for a call that was sent but not answered.
+
+    :param target: peer of the error, such as the service or the server.
+    """
     return exceptions.UnknownOutcomeError(
         'the call may have run; ask again under the same key',
         step='await answer',
--- a/src/carobfork/coordination/homes.py
+++ b/src/carobfork/coordination/homes.py
@@ -1,4 +1,4 @@
-"""Homes: the programs of one incarnation, their order and their journal."""
+"""Manage the programs of one incarnation, their call queues and journal."""
 
 import contextlib
 from collections.abc import Iterator
@@ -18,25 +18,28 @@
 
 OPEN_TIMEOUT_MS = 10_000
 _SERVICE_CALL_RESERVATION = 'call under way'
-"""A program has at most one service call under way."""
+"""Identifier of a reservation.
+
+It needs no call key: a program runs at most one service call at a time.
+"""
 
 
 @attrs.frozen
 class OpenedProgram:
-    """What a caller needs to use its program."""
+    """The identifier and the token that a caller uses a program with."""
 
     program: str
     token: str
 
 
 class Home:
-    """Own the programs that were opened at this incarnation.
+    """The programs that this incarnation owns.
 
-    :param journal: where their records go.
-    :param table: the programs, kept up to date by the journal's commits.
-    :param holder: holds the bundle in force.
-    :param broker: where calls get their slots.
-    :param ownership: notices standstills of this process.
+    :param journal: the journal of their records.
+    :param table: the programs; updated as the journal keeps records.
+    :param holder: holder of the bundle in force.
+    :param broker: source of the slots for model calls.
+    :param ownership: detects standstills of this process.
     """
 
     def __init__(
@@ -47,7 +50,7 @@
         broker: slots.SlotBroker,
         ownership: ownerships.Ownership,
     ) -> None:
-        """Start with the programs of the table."""
+        """Initialize with the programs of the table and no queued calls."""
         self.journal = journal
         self.table = table
         self._holder = holder
@@ -57,14 +60,14 @@
 
     @property
     def bundle(self) -> bundles.Bundle:
-        """The bundle in force."""
+        """Bundle in force."""
         return self._holder.current
 
     def open_program(self, kind_name: str) -> OpenedProgram:
         """Open a program and record it.
 
-        :param kind_name: a program kind of the bundle.
-        :raises OverloadedError: its first call would be refused.
+        :param kind_name: name of a program kind of the bundle.
+        :raises OverloadedError: if its first call would be refused.
         """
         kind = bundles.find(self.bundle.programs, kind_name, 'program')
         rank = bundles.find(self.bundle.ranks, kind.rank, 'rank')
@@ -79,11 +82,12 @@
         kind_name: str,
         budget: bundles.Budget,
     ) -> OpenedProgram:
-        """Open a sub-agent, whose budget is carved out of its parent's.
+        """Open a sub-agent whose budget is taken from its parent's budget.
 
-        :param kind_name: a program kind of the bundle.
-        :param share: what the sub-agent may spend at most.
-        :raises BudgetExceededError: the parent's budget does not cover it.
+        :param parent: the program that opens the sub-agent.
+        :param kind_name: name of a program kind of the bundle.
+        :param budget: the maximum that the sub-agent may spend.
+        :raises BudgetExceededError: if the parent's budget does not cover it.
         """
         calls.require_open(parent)
         kind = bundles.find(self.bundle.programs, kind_name, 'program')
@@ -93,15 +97,18 @@
         try:
             return self._record_opening(kind, budget, parent.identifier)
         finally:
-            # Once recorded, the share is held under the sub-agent's name.
+            # Once the opening is recorded, the parent's ledger holds the
+            # budget under the sub-agent's identifier.
             parent.ledger.release(opening)
 
     def begin_closing(
         self, identifier: str, reason: str
     ) -> list[journals.Entry]:
-        """Refuse further calls of a program and its sub-agents.
+        """Refuse further calls of a program and of its sub-agents.
 
-        Return the records of their ends, to be waited for.
+        :param identifier: identifier of the program.
+        :param reason: reason that is recorded and given to callers.
+        :returns: the journal entries of the closings, to wait for.
         """
         ends = []
         for program in self.table.subtree(identifier):
@@ -117,12 +124,14 @@
         record: records.Record,
         timeout_ms: int,
     ) -> None:
-        """Record something of a program that is still homed here.
+        """Append a record of a program that this host still owns.
 
-        Returns once the platform or two other hosts hold the record.
+        Return once the platform or two other hosts hold the record.
 
-        :raises SealedError: another host owns the program now.
-        :raises PlatformError: not kept in time; it still may be.
+        :param timeout_ms: how long to wait for that.
+        :raises SealedError: if another host owns the program now.
+        :raises PlatformError: if the record is not held in time; it may
+            still be later.
         """
         self.require_owned(program)
         self.journal.keep(record, timeout_ms)
@@ -130,18 +139,18 @@
     def enqueue_record(
         self, program: programs.Program, record: records.Record
     ) -> journals.Entry:
-        """Record something of a program without waiting.
+        """Append a record of a program without waiting for its commit.
 
-        :raises SealedError: another host owns the program now.
-        :raises PlatformError: too many records wait already.
+        :raises SealedError: if another host owns the program now.
+        :raises PlatformError: if the journal's backlog is full.
         """
         self.require_owned(program)
         return self.journal.enqueue(record)
 
     def require_owned(self, program: programs.Program) -> None:
-        """Check that a program was not taken over meanwhile.
+        """Check that a program was not taken over by another host.
 
-        :raises SealedError: another host owns it now.
+        :raises SealedError: if another host owns it now.
         """
         if self.table.programs.get(program.identifier) is not program:
             raise exceptions.SealedError(
@@ -149,28 +158,32 @@
             )
 
     def confirm_owned(self, program: programs.Program) -> None:
-        """Check that a program may be acted for, also after a standstill.
+        """Check that this host owns a program, even after a standstill.
 
-        :raises NotRunError: it may not, or this cannot be told.
+        :raises NotRunError: if it does not, or if this cannot be determined.
         """
         self.ownership.confirm(self.journal)
         self.require_owned(program)
 
     def reset(self, journal: journals.Journal) -> None:
-        """Drop all programs and go on with the journal of a new incarnation."""
+        """Drop all programs and use the journal of a new incarnation."""
         self.table.programs.clear()
         self.sequencer = sequencers.CallSequencer()
         self.journal = journal
 
     def authorise(self, identifier: str, token: str) -> programs.Program:
-        """Return a program if the token opens it."""
+        """Return a program after checking that the token is valid for it.
+
+        :raises UnknownProgramError: if this host does not own the program.
+        :raises ForbiddenError: if the token is not valid for it.
+        """
         program = self.table.find(identifier)
         calls.authorise(program, token)
         self.mark_active(program)
         return program
 
     def mark_active(self, program: programs.Program) -> None:
-        """Note that a program, and so each of its parents, is in use."""
+        """Reset the idle time of a program and of all its ancestors."""
         while program is not None:
             program.idle_ms = 0
             program = self.table.programs.get(program.parent)
@@ -178,10 +191,10 @@
     def in_sequence(
         self, program: programs.Program, key: str = '', after: str = ''
     ) -> contextlib.AbstractContextManager:
-        """Hold the program's turn: its calls run one at a time, in order.
+        """Return a context in which no other call of the program runs.
 
-        :param key: the call's key, empty for what is no call.
-        :param after: key of the call that must come first, or nothing.
+        :param key: the call's key; empty if this is not a call.
+        :param after: key of the predecessor; empty if there is none.
         """
         return self.sequencer.acquire(program, key, after)
 
@@ -192,7 +205,13 @@
         tokens: int,
         identifier: str = _SERVICE_CALL_RESERVATION,
     ) -> Iterator[None]:
-        """Reserve one call and a number of tokens while a call runs."""
+        """Reserve one call and a number of tokens of a program's budget.
+
+        :param tokens: number of tokens to reserve.
+        :param identifier: name of the reservation in the program's ledger.
+        :raises ProgramClosedError: if the program has ended.
+        :raises BudgetExceededError: if the budget does not cover it.
+        """
         calls.require_open(program)
         program.ledger.reserve(identifier, budgets.Reservation(tokens))
         try:
@@ -220,7 +239,7 @@
         return opened
 
     def _close_orphan(self, parent: str, identifier: str) -> None:
-        """End a sub-agent whose parent ended while it was being opened."""
+        """Close a sub-agent if its parent ended while it was being opened."""
         if parent and not self.table.find(parent).is_open:
             self.begin_closing(identifier, 'its parent ended')
             calls.require_open(self.table.find(identifier))
--- a/src/carobfork/coordination/intents.py
+++ b/src/carobfork/coordination/intents.py
@@ -15,7 +15,7 @@
 class IntentRecorder:
     """Records intents and withdraws those of calls that were never sent.
 
-    :param home: the programs and the journal that holds the intents.
+    :param home: the programs of this host and the journal of the intents.
     """
 
     def __init__(self, home: homes.Home) -> None:
@@ -26,7 +26,7 @@
     def require_not_withdrawing(self, call: calls.ServiceCall) -> None:
         """Check that no withdrawal of the call's intent is being recorded.
 
-        :raises NotRunError: one is being recorded; the call did not run.
+        :raises NotRunError: if one is being recorded; the call did not run.
         """
         if (call.program, call.key) in self._withdrawing:
             raise _not_recorded()
@@ -34,7 +34,8 @@
     def record(self, call: calls.ServiceCall) -> None:
         """Record the intent of a call and wait for its commit.
 
-        :raises NotRunError: not committed in time; nothing may be sent.
+        :raises NotRunError: if the journal is stalled or the commit takes
+            longer than ``INTENT_TIMEOUT_MS``; nothing may be sent.
         """
         journal = self._home.journal
         if journal.stalled:
@@ -57,9 +58,9 @@
     def withdraw(self, call: calls.ServiceCall) -> None:
         """Record that the call of an intent will never be sent.
 
-        If the withdrawal is lost, the outcome of the call counts as unknown,
-        although it never runs. Until the withdrawal is recorded, calls with
-        the same key are refused as not run.
+        If the withdrawal is lost, the outcome of the call is reported as
+        unknown although the call never runs. Until the withdrawal is
+        recorded, calls with the same key are refused as not run.
         """
         withdrawal = records.IntentWithdrawn(call.program, call.key)
         entry = self._home.journal.enqueue(withdrawal)
--- a/src/carobfork/coordination/model_calls.py
+++ b/src/carobfork/coordination/model_calls.py
@@ -1,4 +1,8 @@
-"""Model calls: ordered, budgeted, streamed and recorded."""
+"""Run model calls on backend servers and stream their answers to readers.
+
+The calls of a program run in order and within its budget, and their answers
+are recorded.
+"""
 
 import gevent
 import structlog
@@ -9,17 +13,17 @@
 
 READER_GRACE_MS = 10_000
 _TEMPLATE_OVERHEAD_BYTES = 64
-"""Room for what a chat template adds to a prompt."""
+"""Upper bound of what a chat template adds to a prompt."""
 
 logger = structlog.get_logger(part='model calls')
 
 
 class ModelCaller:
-    """Run model calls for the programs homed here.
+    """Runs model calls for the programs homed on this host.
 
-    :param home: the programs and their journal.
-    :param backend: the model engines.
-    :param timer: tells for how long a run has had no reader.
+    :param home: the programs of this host and their journal.
+    :param backend: client of the model engines.
+    :param timer: clock that measures how long a run has had no reader.
     """
 
     def __init__(
@@ -28,7 +32,7 @@
         backend: ports.ModelBackend,
         timer: clock.Clock,
     ) -> None:
-        """Start without calls under way."""
+        """Initialize without calls in flight."""
         self.runs: dict[tuple[str, str], runs.ModelRun] = {}
         self.runner = attempts.AttemptRunner(home, backend)
         self._greenlets: dict[tuple[str, str], gevent.Greenlet] = {}
@@ -37,10 +41,10 @@
         self._timer = timer
 
     def start(self, call: calls.ModelCall, offset: int = 0) -> runs.ModelRun:
-        """Start a call, join it under way, or return its recorded answer.
+        """Start a call, join it if in flight, or return its recorded answer.
 
-        :param offset: how much of the answer the caller has, in bytes.
-        :raises BadRequestError: the call is refused, nothing ran.
+        :param offset: bytes of the answer's text that the caller has.
+        :raises BadRequestError: if the call is invalid; nothing ran.
         """
         program = self._home.authorise(call.program, call.token)
         run = self._find_run(program, call)
@@ -56,19 +60,23 @@
         return run
 
     def cancel_program(self, program: str, reason: str) -> None:
-        """Cancel all calls of a program."""
+        """Cancel all calls of a program that are in flight."""
         for key in list(self.runs):
             if key[0] == program:
                 self.cancel_run(key, reason)
 
     def cancel_unread(self) -> None:
-        """Cancel the calls that nobody has read for the grace time."""
+        """Cancel calls without a reader for more than ``READER_GRACE_MS``."""
         for key, run in list(self.runs.items()):
             if run.unread_ms > READER_GRACE_MS:
                 self.cancel_run(key, 'its caller is gone')
 
     def cancel_run(self, key: tuple[str, str], reason: str) -> None:
-        """Cancel one call, given by program and key."""
+        """Cancel one call.
+
+        :param key: identifier of the program and key of the call.
+        :param reason: reason for the error message.
+        """
         error = exceptions.CancelledError(
             f'the call was cancelled: {reason}', step='cancel'
         )
@@ -109,7 +117,7 @@
             self._remove_run((call.program, call.key), run)
 
     def _remove_run(self, key: tuple[str, str], run: runs.ModelRun) -> None:
-        # A cancelled run may have been replaced under its key.
+        # After a cancellation a new run may be in place under the same key.
         if self.runs.get(key) is run:
             self.runs.pop(key)
             self._greenlets.pop(key)
@@ -156,10 +164,10 @@
 def _max_total_tokens(
     call: calls.ModelCall, history: list[records.AnswerRecorded]
 ) -> int:
-    """Return the most tokens that a call can take.
+    """Return an upper bound of the tokens that a call can use.
 
-    The last call's tokens cover the history before its answer; no text has
-    more tokens than bytes.
+    The token count of the last call covers the history up to its answer. The
+    rest is bounded by its length, since no text has more tokens than bytes.
     """
     tokens = len(call.messages) + _TEMPLATE_OVERHEAD_BYTES + call.max_tokens
     if history:
--- a/src/carobfork/coordination/monitored_backends.py
+++ b/src/carobfork/coordination/monitored_backends.py
@@ -1,4 +1,4 @@
-"""Observations: what exchanges with backend servers tell of their health."""
+"""Wrap backend clients to track the health of the backend servers."""
 
 import contextlib
 from collections.abc import Iterator
@@ -9,29 +9,33 @@
 
 
 class MonitoredModels:
-    """Model engines whose streams are watched.
+    """Client of the model engines that records the course of each stream.
 
-    :param backend: the model engines.
-    :param health: learns from each stream.
+    :param backend: the wrapped client.
+    :param health: health of the backend servers; updated by each stream.
     """
 
     def __init__(
         self, backend: ports.ModelBackend, health: backends.BackendHealth
     ) -> None:
-        """Wrap a backend."""
+        """Wrap a client."""
         self.decode = backend.decode
         self.turn = backend.turn
         self._backend = backend
         self._health = health
 
     def __getattr__(self, name: str):
-        """Return what the backend offers beside streams."""
+        """Delegate all other attributes to the wrapped client."""
         return getattr(self._backend, name)
 
     def stream(
         self, worker: bundles.Worker, prompt: ports.Prompt
     ) -> Iterator[bytes]:
-        """Yield whole server-sent events as they come."""
+        """Yield complete server-sent events as they arrive.
+
+        :raises LeavingError: if the engine refused because it is leaving.
+        :raises ConnectionFailedError: if the stream broke off.
+        """
         with _monitored(self._health, worker.name):
             for events in self._backend.stream(worker, prompt):
                 self._health.record_progress(worker.name)
@@ -39,16 +43,16 @@
 
 
 class MonitoredServices:
-    """Plain services whose answers are watched.
+    """Client of the plain services that records how each request ends.
 
-    :param backend: the plain services.
-    :param health: learns from each answer.
+    :param backend: the wrapped client.
+    :param health: health of the backend servers; updated by each request.
     """
 
     def __init__(
         self, backend: ports.ServiceBackend, health: backends.BackendHealth
     ) -> None:
-        """Wrap a backend."""
+        """Wrap a client."""
         self._backend = backend
         self._health = health
 
@@ -60,7 +64,9 @@
     ) -> ports.ServiceReply:
         """Send a request once and wait for its answer.
 
-        :raises LeavingError: the server refused since it leaves.
+        :param timeout_ms: how long to wait for the answer.
+        :raises LeavingError: if the server refused because it is leaving.
+        :raises ConnectionFailedError: if no complete answer arrived.
         """
         with _monitored(self._health, server.name):
             reply = self._backend.send(server, request, timeout_ms)
--- a/src/carobfork/coordination/routing.py
+++ b/src/carobfork/coordination/routing.py
@@ -1,4 +1,4 @@
-"""Routing: which entry host is a program's home, and which to call."""
+"""Find the entry host that is a program's home, and hosts for callers."""
 
 import random
 from collections.abc import Iterable
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class EntryHost:
-    """A live entry host as its peers know it."""
+    """An entry host as known to its peers."""
 
     incarnation: identifiers.Incarnation
     failure_domain: str
@@ -28,37 +28,37 @@
     """Earlier incarnations of this host that no host has taken over yet."""
 
     def is_home_of(self, incarnation: identifiers.Incarnation) -> bool:
-        """Tell whether an incarnation's programs are here."""
+        """Return whether this host owns an incarnation's programs."""
         return incarnation == self.incarnation or incarnation in self.adopted
 
 
 class HostList(Protocol):
-    """The entry hosts believed to be live."""
+    """The entry hosts that are considered live."""
 
     own: EntryHost
 
     def knows(self, name: str) -> bool:
-        """Tell whether a host is registered, live or not."""
+        """Return whether a host is registered, live or not."""
 
     def live(self) -> list[EntryHost]:
-        """Return the live hosts, this one included."""
+        """Return the live hosts, including this one."""
 
     def is_leaving(self, host: EntryHost) -> bool:
-        """Tell whether a host is about to stop."""
+        """Return whether a host is going to stop."""
 
 
 class RequestGate(Protocol):
-    """The requests that this host serves itself."""
+    """Controls which requests this host serves itself."""
 
     successor: EntryHost | None
 
     def wait_while_paused(self) -> None:
-        """Wait while the programs move to another host."""
+        """Wait while the programs are handed over to another host."""
 
 
 @attrs.frozen
 class AddressAnswer:
-    """Which entry hosts to use, best first, and for how long.
+    """The entry hosts for a caller to use, preferred ones first.
 
     Each address is ``ip:port``; the answer expires after ``ttl_ms``.
     """
@@ -68,11 +68,12 @@
 
 
 class Router:
-    """Find the home of a program.
+    """Finds the homes of programs.
 
-    :param table: the programs homed here.
+    :param table: the programs homed on this host.
     :param hosts: the live entry hosts.
-    :param requests: tells whether the programs were handed over.
+    :param requests: the requests of this host, and its successor if its
+        programs were handed over.
     """
 
     def __init__(
@@ -81,16 +82,18 @@
         hosts: HostList,
         requests: RequestGate,
     ) -> None:
-        """Remember where to look."""
+        """Initialize without any lookup."""
         self._requests = requests
         self._table = table
         self._hosts = hosts
 
     def resolve(self, program: str) -> bundles.Address | None:
-        """Return the home's address, or nothing if it is this host.
+        """Return the address of a program's home, or None for this host.
 
-        :raises NotRunError: its home is gone and not taken over yet.
-        :raises UnknownProgramError: it never had a home.
+        :param program: identifier of the program.
+        :raises NotRunError: if the home has failed and its programs are not
+            taken over yet.
+        :raises UnknownProgramError: if no known host can be the home.
         """
         self._requests.wait_while_paused()
         home = identifiers.home_of(program)
@@ -117,7 +120,13 @@
         )
 
     def addresses(self, program: str = '') -> AddressAnswer:
-        """Return the hosts to use: a program's home first."""
+        """Return entry hosts to use, in random order.
+
+        Hosts that are leaving are omitted unless all are.
+
+        :param program: identifier of a program whose home is put first;
+            empty for no program.
+        """
         live = self._hosts.live()
         staying = [host for host in live if not self._hosts.is_leaving(host)]
         hosts = staying or live
@@ -139,9 +148,10 @@
 def _find_homes(
     hosts: Iterable[EntryHost], home: identifiers.Incarnation
 ) -> list[EntryHost]:
-    """Return the hosts that are a program's home.
+    """Return the live hosts that may own a program, the best first.
 
-    A host that stops lives on for a while after it was taken over.
+    A host that stops stays live for a while after another host adopted its
+    programs, so the host that adopted them comes first.
     """
     homes = [host for host in hosts if host.is_home_of(home)]
     return sorted(homes, key=lambda host: home not in host.adopted)
--- a/src/carobfork/coordination/running_calls.py
+++ b/src/carobfork/coordination/running_calls.py
@@ -1,4 +1,4 @@
-"""Service calls in flight, each with any number of waiting callers."""
+"""Track service calls in flight and the callers that wait for them."""
 
 import gevent
 from gevent import event
@@ -25,7 +25,7 @@
     def require_not_abandoned(self) -> None:
         """Check that no caller has been told that the call did not run.
 
-        :raises NotRunError: a caller has been told so.
+        :raises NotRunError: if a caller has been told so.
         """
         if self._abandoned:
             raise _not_dispatched()
@@ -43,8 +43,9 @@
 
         :param service: name of the service, for error messages.
         :param timeout_ms: time limit of each of the two waits.
-        :raises NotRunError: not dispatched in time; it will not be sent.
-        :raises UnknownOutcomeError: sent but not answered in time.
+        :raises NotRunError: if it is not dispatched in time; it will not be
+            sent afterwards.
+        :raises UnknownOutcomeError: if it was sent but not answered in time.
         """
         seconds = clock.to_seconds(timeout_ms)
         gevent.wait([self.dispatched, self._answered], seconds, count=1)
--- a/src/carobfork/coordination/runs.py
+++ b/src/carobfork/coordination/runs.py
@@ -1,4 +1,4 @@
-"""Runs: model calls under way, followed by any number of readers."""
+"""Buffer the events of model calls in flight for any number of readers."""
 
 from collections.abc import Iterator
 
@@ -9,18 +9,18 @@
 
 
 class ModelRun:
-    """Buffer one model call's events for the callers that read them.
+    """Events of one model call, buffered for the callers that read them.
 
-    The engine's stream fills the buffer at its own pace, so a slow reader
-    stalls neither the engine nor other readers. The call's most tokens bound
-    the buffer.
+    The backend server's stream fills the buffer at its own pace, so a slow
+    reader delays neither the server nor other readers. The buffer is bounded
+    by the maximum number of tokens of the call.
 
-    :param digest: what a repeated call must match.
-    :param timer: tells for how long nobody has read.
+    :param digest: digest that a retry of the call must match.
+    :param timer: clock that measures how long the run has had no reader.
     """
 
     def __init__(self, digest: str, timer: clock.Clock) -> None:
-        """Start without events."""
+        """Initialize without events and readers."""
         self.digest = digest
         self.answer: records.AnswerRecorded | None = None
         self.worker = ''
@@ -34,18 +34,18 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether no event has come yet."""
+        """Whether no event has arrived yet."""
         return not self._events
 
     @property
     def unread_ms(self) -> float:
-        """For how long the run has had no reader."""
+        """Time in milliseconds for which the run has had no reader."""
         if self.readers:
             return 0
         return self._timer.now_ms() - self._unread_since_ms
 
     def push(self, events: bytes) -> None:
-        """Add whole events."""
+        """Append complete events."""
         self._events.append(events)
         self._changed.set()
 
@@ -63,13 +63,13 @@
         self._changed.set()
 
     def raw_events(self) -> bytes:
-        """Return all events so far."""
+        """Return all events that have arrived, joined."""
         return b''.join(self._events)
 
     def read_events(self) -> Iterator[bytes]:
-        """Yield events from the first on until the run ends.
+        """Yield the events, from the first one, until the run ends.
 
-        :raises CarobforkError: what the run failed with.
+        :raises CarobforkError: if the run failed.
         """
         self.readers += 1
         position = 0
@@ -78,7 +78,7 @@
                 self._wait_for_events(position)
                 new_events = self._events[position:]
                 position += len(new_events)
-                # A run that fails wakes its readers without events.
+                # If the run fails, readers wake up without new events.
                 if new_events:
                     yield (
                         new_events[0]
@@ -92,7 +92,7 @@
             raise self._error
 
     def _wait_for_events(self, position: int) -> None:
-        """Wait for further events or the end."""
+        """Wait until there are events past a position or the run ends."""
         if position == len(self._events):
             self._changed.clear()
             self._changed.wait()
--- a/src/carobfork/coordination/sequencers.py
+++ b/src/carobfork/coordination/sequencers.py
@@ -24,7 +24,7 @@
 
 @attrs.frozen(eq=False)
 class Ticket:
-    """A call's place in its program's queue.
+    """An entry in a program's queue of calls.
 
     ``admitted`` is set when the call is first in the queue and may run.
     """
@@ -50,7 +50,7 @@
 
 
 class CallSequencer:
-    """A queue of calls for each program.
+    """Holds a queue of calls for each program.
 
     Semaphores are not used since they do not guarantee first-in, first-out
     order.
@@ -68,12 +68,16 @@
     def acquire(
         self, program: programs.Program, key: str, after: str
     ) -> Iterator[None]:
-        """Wait until a call is first in its program's queue and hold it there.
+        """Return a context that is entered once the call may run.
+
+        The call is then first in its program's queue and stays so until the
+        context is left.
 
         :param key: the call's key; empty if this is not a call.
         :param after: key of the predecessor; empty if there is none.
-        :raises OverloadedError: the program's queue is full.
-        :raises OutOfOrderError: the predecessor did not arrive in time.
+        :raises OverloadedError: if the program's queue is full.
+        :raises OutOfOrderError: if the predecessor does not arrive within
+            ``PREDECESSOR_TIMEOUT_MS``.
         """
         queue = self._queues.setdefault(program.identifier, _CallQueue())
         try:
@@ -90,7 +94,7 @@
     ) -> Iterator[Ticket]:
         if len(queue) >= MAX_QUEUED_CALLS:
             raise exceptions.OverloadedError(
-                f'the queue of the program is full: {len(queue)} calls',
+                f'the queue of the program is full with {len(queue)} calls',
                 step=_STEP,
             )
         _wait_for_predecessor(queue, program, after)
--- a/src/carobfork/coordination/service_calls.py
+++ b/src/carobfork/coordination/service_calls.py
@@ -2,7 +2,7 @@
 
 A call that is not repeatable is sent only after its intent is committed and
 is never sent again. If it is not answered in time, its outcome is unknown.
-A late answer is still awaited, concurrently with the program's later calls.
+A late answer is still recorded; the program's later calls do not wait for it.
 """
 
 import random
@@ -35,7 +35,7 @@
 class ServiceCaller:
     """Runs service calls for the programs homed on this host.
 
-    :param home: the programs and their journal.
+    :param home: the programs of this host and their journal.
     :param backend: client of the plain services.
     :param health: health of the backend servers, for the order of attempts.
     """
@@ -61,9 +61,9 @@
     def run(self, call: calls.ServiceCall) -> records.AnswerRecorded:
         """Run a call, join it if in flight, or return its recorded answer.
 
-        :raises BadRequestError: the call is invalid; nothing ran.
-        :raises NotRunError: nothing was sent.
-        :raises UnknownOutcomeError: sent but not answered in time.
+        :raises BadRequestError: if the call is invalid; nothing ran.
+        :raises NotRunError: if nothing was sent.
+        :raises UnknownOutcomeError: if it was sent but not answered in time.
         """
         program = self._home.authorise(call.program, call.token)
         operation = self._operation(call)
@@ -180,7 +180,7 @@
         program: programs.Program,
         answer: records.AnswerRecorded,
     ) -> None:
-        """Record an answer without a time limit, then return it to callers."""
+        """Record an answer without a time limit, then pass it to callers."""
         try:
             self._record_durably(program, answer)
         except Exception as error:
@@ -306,11 +306,9 @@
 
 
 def _as_not_run(error: Exception) -> exceptions.CarobforkError:
-    """Convert a failure before dispatch to an error saying nothing ran."""
+    """Convert a failure before dispatch to an error with outcome not_run."""
     if isinstance(error, exceptions.CarobforkError):
         if error.outcome is exceptions.Outcome.not_run:
             return error
     logger.warning('A call was not sent.', error=str(error))
-    return exceptions.NotRunError(
-        f'the call was not sent: {error}', step='prepare'
-    )
+    return exceptions.NotRunError('the call was not sent', step='prepare')
