--- a/src/carobfork/coordination/accounts.py
+++ b/src/carobfork/coordination/accounts.py
@@ -1,4 +1,4 @@
-"""Accounts: charge ranks for slots in advance, and settle afterwards."""
+"""Charge ranks an estimate when a slot is granted and settle it later."""
 
 from collections.abc import Callable
 
@@ -8,18 +8,25 @@
 
 
 class DeficitAccount:
-    """Keep a floor's deficits true while calls are under way.
+    """Charges rank deficits with estimates while calls are in flight.
 
-    :param waiting: returns the ranks with waiting calls.
+    The estimate for a rank is the moving average of the tokens that its
+    calls took.
+
+    :param waiting_ranks: returns the ranks with waiting calls.
     """
 
     def __init__(self, waiting_ranks: Callable[[], set[int]]) -> None:
-        """Start without estimates."""
+        """Initialize without averages."""
         self._waiting_ranks = waiting_ranks
         self._mean_tokens: dict[int, float] = {}
 
     def charge(self, floor: rank_deficits.RankDeficits, rank: int) -> float:
-        """Charge a rank for a slot and return the tokens charged."""
+        """Charge a rank for a slot and return the tokens charged.
+
+        The charge is ``DEFAULT_ESTIMATE_TOKENS`` until a call of the rank was
+        served.
+        """
         tokens = self._mean_tokens.get(rank, DEFAULT_ESTIMATE_TOKENS)
         floor.charge(rank, tokens, self._waiting_ranks() | {rank})
         return tokens
@@ -31,7 +38,11 @@
         charged_tokens: float,
         served: slot_limiters.CallReport,
     ) -> None:
-        """Correct a charge by what was served."""
+        """Correct a charge by the tokens that were served.
+
+        :param charged_tokens: tokens returned by ``charge``.
+        :param served: report of the call that held the slot.
+        """
         floor.charge(
             rank, served.tokens - charged_tokens, self._waiting_ranks()
         )
--- a/src/carobfork/coordination/backends.py
+++ b/src/carobfork/coordination/backends.py
@@ -128,7 +128,9 @@
         health.failures += 1
         delay_ms = min(MIN_RETRY_DELAY_MS << doublings, MAX_RETRY_DELAY_MS)
         health.retry_at_ms = self._timer.now_ms() + delay_ms
-        logger.info('A server failed.', peer=name, failures=health.failures)
+        logger.info(
+            'A backend server failed.', peer=name, failures=health.failures
+        )
 
     def mark_leaving(self, name: str) -> None:
         """Record that a server's own answer said that it is leaving.
--- a/src/carobfork/coordination/cache_ports.py
+++ b/src/carobfork/coordination/cache_ports.py
@@ -1,4 +1,7 @@
-"""Interfaces to the cache of model engines."""
+"""Define the interface to the cache of model engines.
+
+A worker is the backend server that runs an engine.
+"""
 
 from typing import Protocol
 
@@ -11,7 +14,7 @@
 class Inventory:
     """What a model engine holds for each program.
 
-    ``blocks`` counts cached blocks, ``streams`` the streams under way.
+    ``blocks`` counts the cached blocks, ``streams`` the streams in progress.
     """
 
     blocks: dict[str, int]
@@ -19,18 +22,19 @@
 
     @property
     def programs(self) -> set[str]:
-        """The programs for which anything is held."""
+        """Programs with cached blocks or streams."""
         return {*self.blocks, *self.streams}
 
 
 class CacheBackend(Protocol):
-    """The cache of model engines.
+    """Client of the cache of model engines.
 
-    Each method raises ``ConnectionFailedError`` without an answer.
+    Each method raises ``ConnectionFailedError`` if the engine does not
+    answer.
     """
 
     def inventory(self, worker: bundles.Worker) -> Inventory:
-        """Return what an engine holds."""
+        """Return what an engine holds for each program."""
 
     def release(self, worker: bundles.Worker, program: str) -> None:
-        """Cancel a program's streams and drop its cached blocks."""
+        """Cancel a program's streams and free its cached blocks."""
--- a/src/carobfork/coordination/cache_sweeps.py
+++ b/src/carobfork/coordination/cache_sweeps.py
@@ -1,8 +1,9 @@
-"""Cache sweeps: release what engines hold for programs that are gone.
+"""Release what backend servers hold for programs that have ended.
 
-Release messages get lost and cache events have gaps, so neither is trusted:
-each engine's own inventory is read at an interval by one responsible host,
-which asks the homes of the programs found whether they are gone.
+Release messages get lost and cache events have gaps, so neither is relied
+on. One host is responsible for each model engine; it reads the engine's
+inventory periodically and asks the homes of the programs found whether they
+have ended.
 """
 
 from collections.abc import Iterable
@@ -25,7 +26,7 @@
 SWEEP_INTERVAL_MS = 5000
 QUERY_TIMEOUT_MS = 2000
 MAX_QUERY_PROGRAMS = 1000
-"""Most programs asked about in one message."""
+"""Maximum number of programs in one query."""
 
 logger = structlog.get_logger(part='cache sweeps')
 
@@ -33,7 +34,7 @@
 @messages.register
 @attrs.frozen
 class GoneQuery:
-    """Which of these programs are gone?"""
+    """Asks a host which of these programs have ended."""
 
     programs: list[str]
 
@@ -41,25 +42,30 @@
 @messages.register
 @attrs.frozen
 class GoneReply:
-    """These programs are gone."""
+    """The programs of a query that have ended."""
 
     programs: list[str]
 
 
 class GoneQueryHandler:
-    """Tell which of the programs homed here are gone.
+    """Answers which of the programs homed on this host have ended.
 
-    :param home: the programs and their journal.
-    :param router: tells which programs are homed here.
+    :param home: the programs of this host and their journal.
+    :param router: finds out which programs are homed on this host.
     """
 
     def __init__(self, home: homes.Home, router: routing.Router) -> None:
-        """Remember where to look."""
+        """Initialize without any query."""
         self._home = home
         self._router = router
 
     def answer(self, query: GoneQuery) -> GoneReply:
-        """Return the programs that are homed here and gone."""
+        """Return the programs of a query that are homed here and have ended.
+
+        A program that is homed here but not in the table has ended. The
+        answer is empty if the journal is sealed, since the programs then
+        have another owner.
+        """
         if self._home.journal.sealed:
             return GoneReply([])
         gone = [name for name in query.programs if self._is_gone(name)]
@@ -76,12 +82,12 @@
 
 
 class CacheSweeper:
-    """Sweep the engines that this host is responsible for.
+    """Sweeps the model engines that this host is responsible for.
 
     :param hosts: the live entry hosts.
-    :param holder: its bundle lists the engines.
-    :param link: carries the queries.
-    :param backend: the engines' cache.
+    :param holder: holder of the bundle, which lists the engines.
+    :param link: messages to the other entry hosts.
+    :param backend: client of the cache of model engines.
     """
 
     def __init__(
@@ -91,7 +97,7 @@
         link: ports.PeerLink,
         backend: cache_ports.CacheBackend,
     ) -> None:
-        """Start without sweeping."""
+        """Initialize without sweeping."""
         self.released = 0
         self._hosts = hosts
         self._holder = holder
@@ -99,16 +105,16 @@
         self._backend = backend
 
     def run(self) -> None:
-        """Sweep until the greenlet is killed."""
+        """Sweep periodically until the greenlet is killed."""
         while True:
             gevent.sleep(clock.to_seconds(SWEEP_INTERVAL_MS))
             for worker in self._assigned_workers():
                 self._try_sweep(worker)
 
     def sweep(self, worker: bundles.Worker) -> None:
-        """Release what an engine holds for programs that are gone.
+        """Release what an engine holds for programs that have ended.
 
-        :raises ConnectionFailedError: the engine did not answer.
+        :raises ConnectionFailedError: if the engine did not answer.
         """
         held = self._backend.inventory(worker).programs
         for name in self._find_gone(held):
@@ -117,7 +123,11 @@
             logger.info('Cache was released.', program=name, peer=worker.name)
 
     def is_responsible(self, worker: bundles.Worker) -> bool:
-        """Tell whether this host sweeps an engine."""
+        """Return whether this host sweeps an engine.
+
+        Of the live hosts, the one with the highest digest of its own and the
+        engine's name is responsible.
+        """
         names = [host.incarnation.host for host in self._hosts.live()]
         return self._hosts.own.incarnation.host == max(
             names,
@@ -140,7 +150,9 @@
         try:
             self.sweep(worker)
         except exceptions.CarobforkError as error:
-            logger.info('A sweep failed.', peer=worker.name, error=str(error))
+            logger.info(
+                'A cache sweep failed.', peer=worker.name, error=str(error)
+            )
 
     def _find_gone(self, names: Iterable[str]) -> set[str]:
         gone: set[str] = set()
--- a/src/carobfork/coordination/call_logs.py
+++ b/src/carobfork/coordination/call_logs.py
@@ -1,4 +1,4 @@
-"""Call notes: what operators can learn about calls after they ended."""
+"""Log the outcomes of calls and the decisions about them, for operators."""
 
 import attrs
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class ClaimedCaller:
-    """Who a request says that it comes from, unchecked."""
+    """The program, token and call named by a request; not verified."""
 
     program: str
     token: str
@@ -17,29 +17,29 @@
 
 
 class CallLog:
-    """Count how calls ended and log what was decided about them.
+    """Counts of outcomes and a log of decisions.
 
-    :param timer: the clock that decisions are stamped with.
-    :param table: the programs homed here.
+    :param timer: clock for the times of decisions.
+    :param table: the programs homed on this host.
     """
 
     def __init__(
         self, timer: clock.Clock, table: programs.ProgramTable
     ) -> None:
-        """Start empty."""
+        """Initialize without outcomes and decisions."""
         self.decisions = decisions.DecisionLog(timer)
         self.outcomes = outcome_counts.OutcomeCounts()
         self._table = table
 
     def count_outcome(self, outcome: str) -> None:
-        """Note that a request was answered with an outcome class."""
+        """Count a request that was answered with an outcome class."""
         self.outcomes.count(outcome)
 
     def log_error(self, caller: ClaimedCaller, error: Exception) -> None:
-        """Note what a request ended with.
+        """Count an error and log it among the decisions of its program.
 
-        Only programs homed here have a log, and callers without the
-        program's token leave no trace in it.
+        It is logged only for programs homed on this host, and only if the
+        caller presented the program's token.
         """
         self.outcomes.count_error(error)
         if self._is_authorised(caller):
--- a/src/carobfork/coordination/decisions.py
+++ b/src/carobfork/coordination/decisions.py
@@ -1,7 +1,7 @@
-"""Decisions: what was decided about each program, and why.
+"""Keep the recent scheduling decisions of each program, with reasons.
 
-A bounded log in memory for ``carobfork explain``: the last decisions of the
-programs that were decided about last. It is no record: a restart empties it.
+The log is used by ``carobfork explain``. It is held in memory, bounded in
+programs and in decisions per program, and lost on restart.
 """
 
 import collections
@@ -17,7 +17,7 @@
 
 
 class Action(enum.StrEnum):
-    """What was decided."""
+    """Kind of a decision."""
 
     queued = 'queued'
     granted = 'granted'
@@ -41,10 +41,10 @@
 
 @attrs.frozen
 class Decision:
-    """One decision about a program.
+    """A decision about a program.
 
     ``call`` names the call or the attempt that it concerns, ``detail`` the
-    reason or the place.
+    reason or the backend server.
     """
 
     at_ms: float
@@ -54,26 +54,29 @@
 
 
 class DecisionLog:
-    """Keep the last decisions of the last programs.
+    """The last decisions of the programs that had decisions last.
 
-    :param timer: the clock that decisions are stamped with.
+    :param timer: clock for the times of decisions.
     """
 
     def __init__(self, timer: clock.Clock) -> None:
-        """Start empty."""
+        """Initialize without decisions."""
         self._timer = timer
         self._logs: collections.OrderedDict[
             str, collections.deque[Decision]
         ] = collections.OrderedDict()
 
     def __len__(self) -> int:
-        """Return how many programs the log holds."""
+        """Return the number of programs in the log."""
         return len(self._logs)
 
     def add(
         self, program: str, action: Action, call: str = '', detail: str = ''
     ) -> None:
-        """Log a decision; the oldest ones make room."""
+        """Log a decision and drop the oldest ones beyond the bounds.
+
+        Texts are cut to ``MAX_DETAIL_CHARACTERS``.
+        """
         log = self._logs.get(program)
         if log is None:
             log = collections.deque(maxlen=MAX_DECISIONS_PER_PROGRAM)
@@ -91,11 +94,11 @@
         )
 
     def recent(self, program: str) -> list[Decision]:
-        """Return a program's last decisions, oldest first."""
+        """Return the last decisions of a program, oldest first."""
         return list(self._logs.get(program, ()))
 
     def sentences(self, program: str) -> list[str]:
-        """Return the last decisions in words, with their age."""
+        """Return the last decisions as sentences that begin with their age."""
         now_ms = self._timer.now_ms()
         return [
             _sentence(decision, now_ms) for decision in self.recent(program)
--- a/src/carobfork/coordination/local_requests.py
+++ b/src/carobfork/coordination/local_requests.py
@@ -1,7 +1,7 @@
-"""Local requests: which programs are being served at this host.
+"""Track the requests that this host serves, and pause them for a handover.
 
-While the programs move to a successor, new requests wait here; afterwards
-they are routed to the successor.
+While the programs are handed over to a successor, new requests wait here;
+afterwards they are routed to the successor.
 """
 
 import collections
@@ -17,23 +17,23 @@
 
 
 class LocalRequests:
-    """Count the requests of each program, and let them pause."""
+    """Counts the requests of each program and can pause new ones."""
 
     def __init__(self) -> None:
-        """Start with every program served here."""
+        """Initialize unpaused and without a successor."""
         self.successor: routing.EntryHost | None = None
-        """Where this host's programs are, if they have been handed over."""
+        """Host that this host's programs were handed over to, if any."""
         self._counts: collections.Counter[str] = collections.Counter()
         self._unpaused = event.Event()
         self._unpaused.set()
 
     def wait_while_paused(self) -> None:
-        """Wait while the programs move."""
+        """Wait while requests are paused, up to ``PAUSE_TIMEOUT_MS``."""
         self._unpaused.wait(timeout=clock.to_seconds(PAUSE_TIMEOUT_MS))
 
     @contextlib.contextmanager
     def track(self, program: str) -> Iterator[None]:
-        """Count a request while it is served."""
+        """Count a request of a program while it is served."""
         self._counts[program] += 1
         try:
             yield
@@ -43,14 +43,18 @@
                 self._counts.pop(program)
 
     def active_programs(self) -> set[str]:
-        """Return the programs with requests."""
+        """Return the programs with requests in progress."""
         return set(self._counts)
 
     def pause(self) -> None:
-        """Let new requests wait until they are resumed."""
+        """Make new requests wait until ``resume`` is called."""
         self._unpaused.clear()
 
     def resume(self, successor: routing.EntryHost | None) -> None:
-        """Let requests go on, at the successor if there is one."""
+        """Let waiting requests continue.
+
+        :param successor: host that now owns the programs; None if they stay
+            here.
+        """
         self.successor = successor
         self._unpaused.set()
--- a/src/carobfork/coordination/ports.py
+++ b/src/carobfork/coordination/ports.py
@@ -1,6 +1,6 @@
-"""Interfaces through which coordination reaches the outside.
+"""Define the interfaces of coordination to the platform, peers and backends.
 
-The transport layer implements them; the composition root connects them.
+The transport layer implements them and the composition root connects them.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -23,24 +23,24 @@
 
 
 class ObjectStore(Protocol):
-    """The platform's object API.
+    """Client of the platform's object API.
 
-    Each method raises ``PlatformError`` where no answer came; an update
-    may then have taken effect all the same.
+    Each method raises ``PlatformError`` if no answer arrives; an update may
+    still have taken effect then.
     """
 
     def fetch(self, key: str) -> StoredObject | None:
-        """Return an object, or nothing where it does not exist."""
+        """Return an object, or None if it does not exist."""
 
     def update(self, key: str, body: bytes, expected_version: int) -> int:
-        """Replace an object of this version and return the new version.
+        """Replace an object and return its new version.
 
-        :param expected_version: 0 creates the object.
-        :raises ConflictError: another version is in force.
+        :param expected_version: version to replace; 0 creates the object.
+        :raises ConflictError: if the object has another version.
         """
 
     def delete(self, key: str) -> None:
-        """Remove an object if it exists."""
+        """Delete an object if it exists."""
 
     def list_keys(self, prefix: str) -> list[str]:
         """Return the keys that start with ``prefix``, sorted."""
@@ -48,51 +48,57 @@
     def watch(
         self, prefix: str, since_revision: int
     ) -> tuple[int, list[StoredObject]]:
-        """Wait for changes after a revision.
+        """Wait for changes of objects after a revision.
 
-        Return the revision reached and the changed objects, possibly none.
+        :param prefix: start of the keys to watch.
+        :param since_revision: last revision that is known.
+        :returns: the revision reached and the changed objects, possibly
+            none.
         """
 
 
 class PeerLink(Protocol):
-    """Messages to and from other entry hosts."""
+    """Sends messages to other entry hosts and receives theirs."""
 
     def on(self, kind: type, handler: Callable) -> None:
-        """Call ``handler`` with each message of a kind.
+        """Register the handler of a kind of messages.
 
-        What it returns is the reply, if the sender waits for one.
+        :param kind: class of the messages.
+        :param handler: called with each message; its return value is the
+            reply if the sender waits for one.
         """
 
     def send(self, address: bundles.Address, message: object) -> None:
-        """Send a message that needs no reply; it may get lost."""
+        """Send a message without waiting for a reply; it may be lost."""
 
     def request(
         self, address: bundles.Address, message: object, timeout_ms: int
     ) -> object:
         """Send a message and return the reply.
 
-        :raises ConnectionFailedError: no reply came in time.
+        :param timeout_ms: how long to wait for the reply.
+        :raises ConnectionFailedError: if no reply arrives in time.
         """
 
 
 class Listener(Protocol):
-    """Where requests come in."""
+    """Accepts connections and requests."""
 
     def drain(self) -> None:
         """Stop listening and wait for the requests in progress."""
 
 
 class RecordCodec(Protocol):
-    """Turn records into a segment's bytes and back."""
+    """Encodes records into segments and decodes them."""
 
     def encode(self, record: records.Record) -> bytes:
-        """Return one record's bytes."""
+        """Return the encoded form of a record."""
 
     def decode(self, encoded: bytes) -> records.Record:
-        """Return the record of its bytes."""
+        """Return the record that the bytes encode."""
 
     def pack(self, encoded: Iterable[bytes]) -> bytes:
-        """Return the compressed bytes of a segment."""
+        """Return the compressed segment of encoded records."""
 
     def unpack(self, segment: bytes) -> list[records.Record]:
         """Return the records of a segment."""
@@ -100,9 +106,9 @@
 
 @attrs.frozen
 class Prompt:
-    """What a model engine is asked.
+    """A request to a model engine.
 
-    ``messages`` are JSON objects separated by commas, oldest first.
+    ``messages`` holds JSON objects separated by commas, oldest first.
     """
 
     model: str
@@ -114,16 +120,17 @@
 
     @property
     def estimated_tokens(self) -> int:
-        """About how many tokens the messages are."""
+        """Estimated number of tokens of the messages."""
         return len(self.messages) // _BYTES_PER_TOKEN
 
 
 @attrs.frozen
 class ModelAnswer:
-    """A model's whole answer.
+    """A complete answer of a model.
 
-    ``text`` is the answer, ``tokens`` counts prompt and answer together,
-    ``cached_tokens`` the part of the prompt found in the engine's cache.
+    ``text`` is the answer. ``tokens`` counts prompt and answer together,
+    ``cached_tokens`` the part of the prompt found in the engine's cache and
+    ``output_tokens`` the answer.
     """
 
     text: str
@@ -138,56 +145,61 @@
 
 
 class ModelBackend(Protocol):
-    """Model engines."""
+    """Client of the model engines.
+
+    A worker is the backend server that runs an engine.
+    """
 
     def stream(self, worker: bundles.Worker, prompt: Prompt) -> Iterator[bytes]:
-        """Yield whole server-sent events as they come.
+        """Yield complete server-sent events as they arrive.
 
-        The stream goes on at the engine for a while after the iterator is
-        closed; ``cancel`` ends it.
+        After the iterator is closed the engine continues the stream for a
+        while; ``cancel`` ends it.
 
-        :raises ConnectionFailedError: the engine broke off.
+        :raises ConnectionFailedError: if the stream broke off.
         """
 
     def resume(
         self, worker: bundles.Worker, attempt: str, offset: int
     ) -> Iterator[bytes]:
-        """Yield the events of a stream from a text offset in bytes.
+        """Yield the events of a stream that the engine still has.
 
-        :raises StreamLostError: the engine does not know the stream.
-        :raises ConnectionFailedError: the engine broke off.
+        :param attempt: identifier of the attempt.
+        :param offset: where to start in the answer's text, in bytes.
+        :raises StreamLostError: if the engine does not have the stream.
+        :raises ConnectionFailedError: if the stream broke off.
         """
 
     def cancel(self, worker: bundles.Worker, attempt: str) -> None:
-        """End a stream.
+        """Cancel a stream.
 
-        :raises ConnectionFailedError: the engine did not answer.
+        :raises ConnectionFailedError: if the engine did not answer.
         """
 
     def decode(self, events: bytes) -> ModelAnswer:
-        """Return the answer that the events spell."""
+        """Return the answer that the events contain."""
 
     def turn(self, messages: bytes, answer: bytes) -> bytes:
-        """Return a turn's messages with the model's answer after them."""
+        """Return the messages of a turn followed by the model's answer."""
 
 
 @attrs.frozen
 class ServiceRequest:
-    """A call to a plain service, passed through unchanged."""
+    """A request to a plain service, passed on unchanged."""
 
     method: str
     path: str
     body: bytes
     content_type: str
     call: str
-    """Program and key; the service sees it as an idempotency key."""
+    """Program and call key; sent to the service as an idempotency key."""
 
 
 @attrs.frozen
 class ServiceReply:
-    """A plain service's answer.
+    """An answer of a plain service.
 
-    ``leaving`` tells that the server wants no further work.
+    ``leaving`` is set if the server asks for no further calls.
     """
 
     status: int
@@ -197,13 +209,14 @@
 
 
 class ServiceBackend(Protocol):
-    """Plain services."""
+    """Client of the plain services."""
 
     def send(
         self, server: bundles.Server, request: ServiceRequest, timeout_ms: int
     ) -> ServiceReply:
         """Send a request once and wait for its answer.
 
-        :raises LeavingError: the server refused since it leaves.
-        :raises ConnectionFailedError: no whole answer came.
+        :param timeout_ms: how long to wait for the answer.
+        :raises LeavingError: if the server refused because it is leaving.
+        :raises ConnectionFailedError: if no complete answer arrived.
         """
--- a/src/carobfork/coordination/program_reapers.py
+++ b/src/carobfork/coordination/program_reapers.py
@@ -1,9 +1,10 @@
-"""Gone programs: end them, cancel their streams, release their cache.
+"""Close programs, cancel their streams and release their cache.
 
-A program is gone when its caller ends it or stays away, when an operator
-aborts it, or when its time is spent. Its sub-agents go with it. What an
-engine holds is released only after the end is committed, so a host whose
-programs were taken over can not release what its successor uses.
+A program is closed when its caller ends it or leaves it idle for too long,
+when an operator aborts it, or when its time is spent. Its sub-agents are
+closed with it. What the backend servers hold for it is released only after
+the closing is committed, so a host whose programs were taken over cannot
+release what its successor uses.
 """
 
 import gevent
@@ -22,12 +23,12 @@
 
 
 class ProgramReaper:
-    """Find programs that are gone and end them.
+    """Closes programs on request, when idle, or when their time is spent.
 
-    :param home: the programs homed here.
-    :param models: their model calls.
-    :param backend: the engines' cache.
-    :param timer: measures programs' time and idleness.
+    :param home: the programs of this host and their journal.
+    :param models: the model calls of the programs.
+    :param backend: client of the cache of model engines.
+    :param timer: clock that measures the time and idle time of programs.
     """
 
     def __init__(
@@ -37,7 +38,7 @@
         backend: cache_ports.CacheBackend,
         timer: clock.Clock,
     ) -> None:
-        """Start counting time."""
+        """Initialize with the programs' time counted from now."""
         self.ended = 0
         self.releases_failed = 0
         self._home = home
@@ -48,10 +49,13 @@
         self._recorded_ms = timer.now_ms()
 
     def close(self, identifier: str, reason: str) -> None:
-        """End a program with its sub-agents and release what they hold.
+        """Close a program and its sub-agents and release their cache.
 
-        :raises UnknownProgramError: it is not homed here.
-        :raises PlatformError: not recorded in time; it still will be.
+        :param identifier: identifier of the program.
+        :param reason: reason that is recorded and given to callers.
+        :raises UnknownProgramError: if it is not homed on this host.
+        :raises PlatformError: if the closing is not recorded within
+            ``END_TIMEOUT_MS``; it still will be.
         """
         tree = self._home.table.subtree(identifier)
         ends = self._home.begin_closing(identifier, reason)
@@ -63,13 +67,13 @@
         gevent.spawn(self._release, tree, ends)
 
     def run(self) -> None:
-        """Check all programs until the greenlet is killed."""
+        """Check all programs periodically until the greenlet is killed."""
         while True:
             gevent.sleep(clock.to_seconds(CHECK_INTERVAL_MS))
             self.check()
 
     def check(self) -> None:
-        """Count the time passed and end the programs that are gone."""
+        """Count the elapsed time and close programs that are past a limit."""
         now_ms = self._timer.now_ms()
         passed_ms = now_ms - self._checked_ms
         self._checked_ms = now_ms
@@ -96,7 +100,9 @@
             reason = programs.IDLE_REASON
         if reason:
             logger.info(
-                'A program is gone.', program=program.identifier, reason=reason
+                'A program is closed.',
+                program=program.identifier,
+                reason=reason,
             )
             gevent.spawn(self._try_close, program.identifier, reason)
 
@@ -104,7 +110,9 @@
         try:
             self.close(identifier, reason)
         except exceptions.CarobforkError as error:
-            logger.warning('A program was not ended yet.', error=str(error))
+            logger.warning(
+                'A program could not be closed yet.', error=str(error)
+            )
 
     def _idle_limit_ms(self, program: programs.Program) -> int:
         for kind in self._home.bundle.programs:
@@ -122,7 +130,9 @@
             try:
                 self._home.journal.enqueue(spending.TimeSpent(spent_ms))
             except exceptions.CarobforkError as error:
-                logger.warning('Time was not recorded.', error=str(error))
+                logger.warning(
+                    'The time spent was not recorded.', error=str(error)
+                )
 
     def _release(
         self, tree: list[programs.Program], ends: list[journals.Entry]
@@ -142,6 +152,8 @@
             worker = bundles.find(model.workers, worker_name, 'worker')
             self._backend.release(worker, program)
         except exceptions.CarobforkError as error:
-            # The sweep of the worker's inventory finds what stays behind.
+            # A sweep of the engine's inventory releases what is left.
             self.releases_failed += 1
-            logger.info('A release failed.', peer=target, error=str(error))
+            logger.info(
+                'Cache was not released.', peer=target, error=str(error)
+            )
--- a/src/carobfork/coordination/shutdowns.py
+++ b/src/carobfork/coordination/shutdowns.py
@@ -1,8 +1,9 @@
-"""Stops: a host leaves without cutting a request.
+"""Shut an entry host down without breaking off a request.
 
-Callers keep an address answer for its lifetime, so the host is first taken
-out of all answers and serves on until the last answer has expired. Then its
-programs go to a successor, and what is still in progress is finished.
+Callers use an address answer until it expires. The host is therefore first
+left out of new answers and continues to serve until the last answer that
+names it has expired. Then its programs are handed over to a successor, and
+the requests in progress are finished.
 """
 
 from collections.abc import Callable, Sequence
@@ -28,12 +29,13 @@
 
 
 class GracefulShutdown:
-    """Take a host out of service, step by step.
+    """Takes a host out of service in steps.
 
     :param members: the other hosts, and which of them stay.
-    :param link: carries the news to them.
-    :param store: where the host's object says that it leaves.
-    :param timer: measures the lifetime of address answers.
+    :param link: messages to the other hosts.
+    :param store: the platform's objects; the host's own object is marked as
+        leaving.
+    :param timer: clock that measures the lifetime of address answers.
     """
 
     def __init__(
@@ -43,7 +45,7 @@
         store: ports.ObjectStore,
         timer: clock.Clock,
     ) -> None:
-        """Prepare the stop; ``run`` begins it."""
+        """Initialize; ``run`` starts the shutdown."""
         self._members = members
         self._link = link
         self._store = store
@@ -54,15 +56,16 @@
         hand_over: Callable[[], None],
         listeners: Sequence[ports.Listener],
     ) -> None:
-        """Stop; returns once no request is in progress.
+        """Shut down and return once no request is in progress.
 
-        :param hand_over: gives the programs to a successor.
-        :param listeners: where callers connect.
+        :param hand_over: hands the programs over to a successor; called only
+            if another host stays.
+        :param listeners: listeners for callers.
         """
         logger.info('The host leaves.')
         self._members.leaving = True
-        # A host that misses this hears it with the next heartbeats or by
-        # the platform.
+        # A host that misses this message learns it from the next heartbeats
+        # or from the platform.
         workers = pool.Pool(MAX_PARALLEL_ANNOUNCEMENTS)
         own = self._members.own
         others = [host for host in self._members.live() if host != own]
@@ -90,11 +93,16 @@
         try:
             control.mark_leaving(self._store, self._members.own)
         except exceptions.PlatformError as error:
-            # The other hosts have been told already.
-            logger.warning('The platform was not told.', error=str(error))
+            # The other hosts have been notified already.
+            logger.warning(
+                'The host was not marked as leaving.', error=str(error)
+            )
 
     def _wait_for_address_expiry(self) -> None:
-        """Wait until no unexpired address answer names this host."""
+        """Wait until all address answers that name this host have expired.
+
+        Return at once if no other host stays.
+        """
         started_ms = self._timer.now_ms()
         while self._members.staying():
             if self._timer.now_ms() - started_ms > routing.ADDRESS_TTL_MS:
--- a/tests/test_sequencers.py
+++ b/tests/test_sequencers.py
@@ -1,4 +1,8 @@
-"""Turns: calls of one program run in order."""
+"""Sequencers: calls of one program run one at a time and in order.
+
+Guards against calls that overlap or overtake each other when they arrive
+concurrently, or before the call that they must run after.
+"""
 
 import unittest
 
@@ -22,16 +26,16 @@
 
 
 class CallSequencerTest(unittest.TestCase):
-    """Calls run one at a time, in order of arrival or as they say."""
+    """Calls of one program in its queue."""
 
     def setUp(self):
-        """Start without calls."""
+        """Initialize a sequencer and a program without calls."""
         self.sequencer = sequencers.CallSequencer()
         self.program = make_program()
         self.ran = []
 
     def run_call(self, key, after=''):
-        """Take a turn and note it; the turn lasts a few loop passes."""
+        """Run a call that lasts until the event loop is idle and record it."""
         with self.sequencer.acquire(self.program, key, after):
             self.ran.append(key)
             gevent.idle()
@@ -49,7 +53,7 @@
         self.assertTrue(self.sequencer.is_idle(self.program.identifier))
 
     def test_predecessor_that_comes_later(self):
-        """A call waits for the one that it comes after."""
+        """A call waits for a predecessor that arrives later."""
         late = gevent.spawn(self.run_call, 'b', after='a')
         gevent.idle()
         self.assertEqual(self.ran, [])
@@ -58,7 +62,7 @@
         self.assertEqual(self.ran, ['a', 'a done', 'b', 'b done'])
 
     def test_cancelled_while_waiting(self):
-        """A call that is killed in the queue holds nobody up."""
+        """A call that is killed in the queue does not block later calls."""
         greenlets = [gevent.spawn(self.run_call, key) for key in 'abc']
         gevent.sleep(0)
         greenlets[1].kill()
@@ -66,7 +70,7 @@
         self.assertEqual(self.ran, ['a', 'a done', 'c', 'c done'])
 
     def test_bounded(self):
-        """More calls than the limit are refused as not run."""
+        """Calls beyond ``MAX_QUEUED_CALLS`` are refused as not run."""
         waiting = [
             gevent.spawn(self.run_call, str(number))
             for number in range(sequencers.MAX_QUEUED_CALLS)
--- a/tests/test_service_calls.py
+++ b/tests/test_service_calls.py
@@ -1,4 +1,10 @@
-"""Service calls: sent at most once, and told truthfully."""
+"""Service calls: at most one send and a truthful outcome.
+
+Guards against a call that is not repeatable being sent twice, and against a
+call being reported as not run after it was sent. Both can come about if the
+connection breaks, an answer is late, the platform fails or another host takes
+the program over between the intent, the dispatch and the record of the answer.
+"""
 
 import unittest
 from unittest import mock
@@ -25,10 +31,10 @@
 
 
 class ManualService:
-    """Count what is sent, and answer when told."""
+    """A service that counts calls and answers when released."""
 
     def __init__(self):
-        """Answer at once."""
+        """Initialize to answer immediately."""
         self.sent = 0
         self.error = None
         self.released = event.Event()
@@ -36,7 +42,7 @@
         self.on_send = event.Event().set
 
     def send(self, server, request, timeout_ms):
-        """Run a call."""
+        """Count a call, then answer it or raise the error that was set."""
         if self.error and not self.error.sent:
             raise self.error
         self.sent += 1
@@ -50,10 +56,10 @@
 @mock.patch.object(appenders, 'RETRY_DELAY_MS', 0)
 @mock.patch.object(journals, 'COMMIT_INTERVAL_MS', 0)
 class ServiceCallTest(unittest.TestCase):
-    """One program's calls at one host."""
+    """Calls of one program on one of two hosts."""
 
     def setUp(self):
-        """Open a program."""
+        """Start two hosts and open a program on the first one."""
         self.store = stores.ManualStore()
         self.host = recording_hosts.Host('entry-1', self.store)
         self.other = recording_hosts.Host('entry-2', self.store)
@@ -73,11 +79,11 @@
         self.other.die()
 
     def call(self, key='d1', path='/deposit', body=b'20'):
-        """Make a call."""
+        """Run a call and return its answer."""
         return self.caller.run(self.request(key, path, body))
 
     def request(self, key, path='/deposit', body=b'20'):
-        """Return a call."""
+        """Build a call; only the path ``/stock`` is repeatable."""
         return calls.ServiceCall(
             program=self.opened.program,
             token=self.opened.token,
@@ -96,7 +102,7 @@
         return type(caught.exception)
 
     def short_timeouts(self):
-        """Let operations time out at once."""
+        """Set the timeout of all operations to ``TIMEOUT_MS``."""
         operations = [
             bundles.Operation(name, method, f'/{name}', repeatable, TIMEOUT_MS)
             for name, method, repeatable in (
@@ -115,7 +121,7 @@
         )
 
     def test_a_late_answer_becomes_known(self):
-        """The turn is free meanwhile, and the answer is recorded."""
+        """The next call runs meanwhile, and the late answer is recorded."""
         self.service.released.clear()
         with self.short_timeouts():
             unknown = exceptions.UnknownOutcomeError
@@ -128,7 +134,7 @@
         self.assertEqual(self.service.sent, 2)
 
     def test_a_refused_connection_did_not_run(self):
-        """The key stays usable, and runs once."""
+        """The call is reported as not run; a retry of its key runs once."""
         self.service.error = exceptions.ConnectionFailedError('no', sent=False)
         self.assertIs(self.error_type_of(), exceptions.NotRunError)
         self.service.error = None
@@ -136,7 +142,7 @@
         self.assertEqual(self.service.sent, 1)
 
     def test_a_broken_connection_is_unknown(self):
-        """Also for a call that may be repeated."""
+        """The outcome is unknown, for a repeatable call too."""
         self.service.error = exceptions.ConnectionFailedError('no', sent=True)
         unknown = exceptions.UnknownOutcomeError
         self.assertIs(self.error_type_of('d1'), unknown)
@@ -145,14 +151,18 @@
         self.assertEqual(self.service.sent, 2)
 
     def test_sealed_after_the_dispatch(self):
-        """The call ran, so it is never told as not run."""
+        """The call ran, so it is not reported as not run."""
         self.service.on_send = self.host.home.journal.seal
         unknown = exceptions.UnknownOutcomeError
         self.assertIs(self.error_type_of(), unknown)
         self.assertEqual(self.service.sent, 1)
 
     def test_taken_over_before_the_dispatch(self):
-        """A standstill after the intent's commit is noticed."""
+        """A takeover during a standstill prevents the dispatch.
+
+        The process stands still after the commit of the intent, and another
+        host takes its programs over.
+        """
         record = intents.IntentRecorder.record
 
         def freeze(recorder, call):
@@ -167,7 +177,7 @@
         self.assertIs(taken.phase, programs.CallPhase.intended)
 
     def test_refuses_while_the_platform_is_down(self):
-        """The intent cannot be committed; later the key runs once."""
+        """Without a committed intent nothing is sent; a retry runs once."""
         self.store.down = True
         with mock.patch.object(intents, 'INTENT_TIMEOUT_MS', TIMEOUT_MS):
             self.assertIs(self.error_type_of(), exceptions.NotRunError)
@@ -182,7 +192,7 @@
         self.assertEqual(self.service.sent, 1)
 
     def test_the_answer_waits_for_the_platform(self):
-        """Unknown until it is recorded, and then as it was."""
+        """The outcome is unknown until the answer is recorded."""
         self.service.on_send = self.disconnect_platform
         with self.short_timeouts():
             unknown = exceptions.UnknownOutcomeError
@@ -193,26 +203,26 @@
         self.assertEqual(self.service.sent, 1)
 
     def test_a_turn_that_does_not_come(self):
-        """Whoever is told not run is never sent afterwards."""
+        """A call that was reported as not run is not sent afterwards."""
         program = self.host.table.find(self.opened.program)
         first = self.request('d0')
         with self.short_timeouts(), self.host.home.in_sequence(program, first):
             self.assertIs(self.error_type_of(), exceptions.NotRunError)
-        # The next call's turn comes only after the first would have run.
+        # The next call runs only after the first one would have run.
         self.call('d2')
         self.assertEqual(self.service.sent, 1)
 
     def test_bounds_the_calls_under_way(self):
-        """Beyond the limit calls are refused as not run."""
+        """Calls beyond ``MAX_RUNNING_CALLS`` are refused as not run."""
         with mock.patch.object(service_calls, 'MAX_RUNNING_CALLS', 0):
             self.assertIs(self.error_type_of(), exceptions.OverloadedError)
 
     def disconnect_platform(self):
-        """Let the platform answer nothing."""
+        """Make the platform stop answering."""
         self.store.down = True
 
     def call_until_done(self, key='d1', retried=exceptions.CarobforkError):
-        """Repeat a call while it meets an error."""
+        """Retry a call until it raises no error of the given class."""
         with gevent.Timeout(30):
             while True:
                 try:
