--- a/src/carobfork/coordination/accounts.py
+++ b/src/carobfork/coordination/accounts.py
@@ -21,32 +21,32 @@
         self._waiting_ranks = waiting_ranks
         self._mean_tokens: dict[int, float] = {}
 
-    def charge(self, floor: rank_deficits.RankDeficits, rank: int) -> float:
+    def charge(self, deficits: rank_deficits.RankDeficits, rank: int) -> float:
         """Charge a rank for a slot and return the tokens charged.
 
         The charge is ``DEFAULT_ESTIMATE_TOKENS`` until a call of the rank was
         served.
         """
         tokens = self._mean_tokens.get(rank, DEFAULT_ESTIMATE_TOKENS)
-        floor.charge(rank, tokens, self._waiting_ranks() | {rank})
+        deficits.charge(rank, tokens, self._waiting_ranks() | {rank})
         return tokens
 
     def settle(
         self,
-        floor: rank_deficits.RankDeficits,
+        deficits: rank_deficits.RankDeficits,
         rank: int,
         charged_tokens: float,
-        served: slot_limiters.CallReport,
+        report: slot_limiters.CallReport,
     ) -> None:
         """Correct a charge by the tokens that were served.
 
         :param charged_tokens: tokens returned by ``charge``.
-        :param served: report of the call that held the slot.
+        :param report: report of the call that held the slot.
         """
-        floor.charge(
-            rank, served.tokens - charged_tokens, self._waiting_ranks()
+        deficits.charge(
+            rank, report.tokens - charged_tokens, self._waiting_ranks()
         )
-        if served.tokens:
+        if report.tokens:
             self._mean_tokens[rank] = placements.moving_average(
-                self._mean_tokens.get(rank, 0), served.tokens
+                self._mean_tokens.get(rank, 0), report.tokens
             )
--- a/src/carobfork/coordination/calls.py
+++ b/src/carobfork/coordination/calls.py
@@ -86,15 +86,15 @@
         )
 
 
-def match_digest(key: str, recorded: str, asked: str) -> None:
+def match_digest(key: str, recorded: str, requested: str) -> None:
     """Check that a call key is used again only for the same request.
 
     :param key: the call's key.
     :param recorded: digest of the call that is known under the key.
-    :param asked: digest of the new call.
+    :param requested: digest of the new call.
     :raises KeyReuseError: if the digests differ.
     """
-    if recorded != asked:
+    if recorded != requested:
         raise exceptions.KeyReuseError(
             f'call key "{key}" was used with another request', step='admit'
         )
--- a/src/carobfork/coordination/service_calls.py
+++ b/src/carobfork/coordination/service_calls.py
@@ -299,9 +299,9 @@
     A call that was sent once may have run, so an unknown outcome takes
     precedence over servers that could not be reached.
     """
-    for refusal in errors:
-        if refusal.outcome is exceptions.Outcome.unknown:
-            return refusal
+    for error in errors:
+        if error.outcome is exceptions.Outcome.unknown:
+            return error
     return errors[0]
 
 
--- a/src/carobfork/coordination/shutdowns.py
+++ b/src/carobfork/coordination/shutdowns.py
@@ -66,10 +66,10 @@
         self._members.leaving = True
         # A host that misses this message learns it from the next heartbeats
         # or from the platform.
-        workers = pool.Pool(MAX_PARALLEL_ANNOUNCEMENTS)
+        greenlets = pool.Pool(MAX_PARALLEL_ANNOUNCEMENTS)
         own = self._members.own
         others = [host for host in self._members.live() if host != own]
-        workers.map(self._announce, others)
+        greenlets.map(self._announce, others)
         self._publish()
         self._wait_for_address_expiry()
         if self._members.staying():
