--- a/src/carobfork/coordination/admissions.py
+++ b/src/carobfork/coordination/admissions.py
@@ -1,7 +1,8 @@
-"""Admissions: which calls may wait for a slot, and which are refused.
+"""Decide on arrival whether a call may wait for a slot or is refused.
 
-A call is refused before any work is done for it. Policies fill a registry
-by decorator; the bundle names the one in force.
+A call is refused before any work is done for it on a worker (backend
+server). Policies register themselves by a decorator; the bundle names the
+one in force.
 """
 
 from collections.abc import Callable
@@ -15,16 +16,20 @@
 
 @attrs.frozen
 class Arrival:
-    """What an admission policy knows of a call that arrives."""
+    """Input of an admission policy for an arriving call.
+
+    :param expected_wait_ms: expected wait for a slot.
+    :param queue_limit_ms: the longest expected wait that the rank allows.
+    """
 
     expected_wait_ms: float
     queue_limit_ms: int
     started: bool
-    """Whether work was done for the call's program before."""
+    """Whether the call's program was served before."""
     kind_ratio: float
-    """Part of the rank's waiting calls that are of the same kind."""
+    """Fraction of the rank's waiting calls that are of the same kind."""
     kind_count: int
-    """Kinds of programs among the rank's waiting calls."""
+    """Number of kinds among the rank's waiting calls and this one."""
 
 
 AdmissionPolicy = Callable[[Arrival], bool]
@@ -43,22 +48,22 @@
 
 @register('all')
 def admit_all(arrival: Arrival) -> bool:
-    """Admit every call that the bounded queue can hold."""
+    """Admit every call; only the bound of the queue applies."""
     return True
 
 
 @register('by_call')
 def admit_within_limit(arrival: Arrival) -> bool:
-    """Admit calls while the expected wait meets the rank's limit."""
+    """Admit calls while the expected wait is within the rank's limit."""
     return arrival.expected_wait_ms <= arrival.queue_limit_ms
 
 
 @register('by_program')
 def admit_started_first(arrival: Arrival) -> bool:
-    """Refuse new programs first, so that those under way can finish.
+    """Refuse new programs first, so that started ones can finish.
 
-    A kind with less than its part of the queue is refused later, so that a
-    flood of one kind leaves room for the others.
+    Kinds with less than an equal part of the queue get a higher limit, so
+    that a burst of one kind does not shut out the others.
     """
     limit_ratio = (
         STARTED_PROGRAM_LIMIT_RATIO
--- a/src/carobfork/coordination/backlogs.py
+++ b/src/carobfork/coordination/backlogs.py
@@ -1,4 +1,7 @@
-"""Backlogs: the waiting calls of a pool, by rank, and what they must wait."""
+"""Hold the waiting calls of a pool by rank and estimate their waits.
+
+The calls wait for slots on the pool's workers, its backend servers.
+"""
 
 from collections.abc import Iterator
 
@@ -17,13 +20,14 @@
 
 
 class Backlog:
-    """Queue calls by rank and hand them out in the policies' order.
+    """Queues of a pool's waiting calls, one for each rank.
 
-    :param bundle: gives ranks and policies.
+    :param bundle: the bundle with the ranks and the policies for order and
+        admission.
     """
 
     def __init__(self, bundle: bundles.Bundle) -> None:
-        """Start empty."""
+        """Create an empty backlog."""
         order = queue_orders.ORDERS[bundle.policy.order]
         self.deficits = rank_deficits.RankDeficits(
             [rank.share for rank in bundle.ranks]
@@ -35,11 +39,11 @@
         self._kind_counts: list[dict[str, int]] = [{} for _ in bundle.ranks]
 
     def __len__(self) -> int:
-        """Return how many calls wait."""
+        """Return the number of waiting calls."""
         return sum(map(len, self._queues))
 
     def __contains__(self, identifier: str) -> bool:
-        """Tell whether a call waits."""
+        """Return whether a call waits."""
         return any(identifier in queue.requests for queue in self._queues)
 
     def __iter__(self) -> Iterator[queue_orders.SlotRequest]:
@@ -49,25 +53,25 @@
 
     @property
     def lengths_by_rank(self) -> dict[str, int]:
-        """How many calls wait, by rank."""
+        """Number of waiting calls by the rank's name."""
         pairs = zip(self._ranks, self._queues, strict=True)
         return {rank.name: len(queue) for rank, queue in pairs}
 
     def waiting_ranks(self) -> set[int]:
-        """Return the ranks with waiting calls."""
+        """Return the positions of the ranks with waiting calls."""
         return {
             rank for rank, queue in enumerate(self._queues) if queue.requests
         }
 
     def push(self, request: queue_orders.SlotRequest) -> None:
-        """Add a call."""
+        """Add a call to its rank's queue."""
         rank = self.rank_of(request)
         self._queues[rank].push(request)
         kinds = self._kind_counts[rank]
         kinds[request.kind] = kinds.get(request.kind, 0) + 1
 
     def remove(self, identifier: str) -> queue_orders.SlotRequest | None:
-        """Take a call out, if it waits."""
+        """Remove and return a call, or return None if it does not wait."""
         for queue in self._queues:
             request = queue.remove(identifier)
             if request is not None:
@@ -76,25 +80,27 @@
         return None
 
     def pop(self, rank: int) -> queue_orders.SlotRequest | None:
-        """Take out a rank's next call, if there is one."""
+        """Remove and return a rank's next call, or None if there is none."""
         request = self._queues[rank].pop()
         if request is not None:
             self._uncount_kind(request)
         return request
 
     def rank_of(self, request: queue_orders.SlotRequest) -> int:
-        """Return the queue that a call waits in.
+        """Return the position of the queue that a call waits in.
 
-        A rank unknown here, under another bundle's version, is the last.
+        A host with another bundle version may send a rank that this bundle
+        does not have; such calls are put into the last rank.
         """
         if not self._by_rank:
             return 0
         return min(request.rank, len(self._queues) - 1)
 
     def expected_wait_ms(self, rank: int, slot_interval_ms: float) -> float:
-        """Return how long a rank's next arrival will wait.
+        """Return the expected wait of a rank's next arrival, in ms.
 
-        :param slot_ms: mean time between two slots that come free.
+        :param rank: the rank's position.
+        :param slot_interval_ms: mean time between two released slots.
         """
         return (
             len(self._queues[rank])
@@ -105,9 +111,12 @@
     def check_admission(
         self, request: queue_orders.SlotRequest, slot_interval_ms: float
     ) -> None:
-        """Check that a call may wait.
+        """Check that a call may be queued.
 
-        :raises OverloadedError: it is refused, nothing ran.
+        :param request: the call.
+        :param slot_interval_ms: mean time between two released slots.
+        :raises OverloadedError: if the queue is full or the admission policy
+            refuses the call; nothing has run.
         """
         rank = self.rank_of(request)
         wait_ms = self.expected_wait_ms(rank, slot_interval_ms)
@@ -117,7 +126,11 @@
             raise overloaded_error(request.model, wait_ms)
 
     def excess(self, slot_interval_ms: float) -> list[queue_orders.SlotRequest]:
-        """Return the waiting calls beyond what the ranks' limits allow."""
+        """Return the waiting calls beyond the ranks' queue limits.
+
+        :param slot_interval_ms: mean time between two released slots; there
+            is no excess while it is unknown (0).
+        """
         if self._admit is admissions.admit_all or not slot_interval_ms:
             return []
         excess = []
@@ -133,7 +146,11 @@
         return excess
 
     def _capacity_ratio(self, rank: int) -> float:
-        """Return the part of the free slots that a rank can count on."""
+        """Return the fraction of the released slots that a rank can expect.
+
+        The shares of waiting lower ranks are subtracted. While a more urgent
+        rank waits, a rank can expect no more than its own share.
+        """
         ratio = 1 - sum(
             self._ranks[lower].share
             for lower in self.waiting_ranks()
@@ -166,9 +183,13 @@
 
 
 def overloaded_error(peer: str, wait_ms: float) -> exceptions.OverloadedError:
-    """Return the refusal of a call that would wait too long."""
+    """Return the error for a call that would wait too long for a slot.
+
+    :param peer: the model, pool or other subject of the wait.
+    :param wait_ms: the expected wait.
+    """
     return exceptions.OverloadedError(
-        f'a slot would come free in about {wait_ms:.0f} ms',
+        f'the expected wait for a slot is {wait_ms:.0f} ms',
         step='queue',
         peer=peer,
         retry_after_ms=max(MIN_RETRY_AFTER_MS, int(wait_ms)),
--- a/src/carobfork/coordination/dispatchers.py
+++ b/src/carobfork/coordination/dispatchers.py
@@ -1,7 +1,7 @@
-"""Dispatchers: one queue and the slots of all workers of a pool.
+"""Queue the calls of a pool and grant them slots on its workers.
 
-A worker is chosen only when a slot is granted, so no call waits behind
-another at a worker while a second worker idles.
+A worker, which stands for one backend server, is chosen only when a slot is
+granted. No call therefore waits for one worker while another one is idle.
 """
 
 import collections
@@ -28,9 +28,11 @@
 
 @attrs.frozen
 class Grant:
-    """A slot on a worker, given to one call.
+    """A slot on a worker that was granted to a call.
 
-    ``charged_tokens`` is what the call's rank was charged in advance.
+    :param request: the call.
+    :param worker: the worker's name.
+    :param charged_tokens: estimate that was charged to the call's rank.
     """
 
     request: queue_orders.SlotRequest
@@ -39,17 +41,17 @@
 
 
 class Dispatcher:
-    """Grant the slots of one pool's workers.
+    """Queue of one pool's calls and the slots of its workers.
 
-    :param pool: the workers.
-    :param bundle: ranks and policies.
-    :param timer: the clock that arrival times refer to.
+    :param pool: the pool whose workers are used.
+    :param bundle: the bundle with the ranks and policies in force.
+    :param timer: the clock for arrival times, deferrals and retries.
     """
 
     def __init__(
         self, pool: pools.Pool, bundle: bundles.Bundle, timer: clock.Clock
     ) -> None:
-        """Start with every worker idle."""
+        """Create a dispatcher without calls."""
         self.backlog = backlogs.Backlog(bundle)
         self.granted: dict[str, Grant] = {}
         self.workers = worker_tables.WorkerTable(timer)
@@ -61,9 +63,10 @@
         self.apply_bundle(pool, bundle)
 
     def apply_bundle(self, pool: pools.Pool, bundle: bundles.Bundle) -> None:
-        """Take over the workers, ranks and policies of a bundle.
+        """Apply the workers, ranks and policies of a bundle.
 
-        Calls that wait stay; slots on workers that were removed run out.
+        Waiting calls stay in the queue. Slots on removed workers are held
+        until their calls end.
         """
         waiting = list(self.backlog)
         self.backlog = backlogs.Backlog(bundle)
@@ -79,23 +82,24 @@
         )
 
     def submit(self, request: queue_orders.SlotRequest) -> None:
-        """Queue a call; one that is known already stays as it is.
+        """Queue a call, unless it already waits or holds a slot.
 
-        :raises OverloadedError: it is refused.
+        :raises OverloadedError: if the admission policy refuses the call or
+            the queue is full.
         """
         if not self.has_call(request.identifier):
             self.backlog.check_admission(request, self.workers.slot_interval_ms)
             self._enqueue(request)
 
     def enqueue_admitted(self, request: queue_orders.SlotRequest) -> None:
-        """Queue a call that another dispatcher had admitted."""
+        """Queue a call that another dispatcher admitted."""
         if not self.has_call(request.identifier):
             self._enqueue(request)
 
     def adopt_grant(
         self, request: queue_orders.SlotRequest, worker: str
     ) -> None:
-        """Note a slot that another dispatcher had granted."""
+        """Record a slot that another dispatcher granted."""
         if request.identifier not in self.granted:
             self._dequeue(request.identifier)
             self.granted[request.identifier] = Grant(request, worker)
@@ -103,15 +107,16 @@
             self._isolation.record_grant(self.backlog.rank_of(request), worker)
 
     def has_call(self, identifier: str) -> bool:
-        """Tell whether a call waits or holds a slot."""
+        """Return whether a call waits or holds a slot."""
         return identifier in self.granted or identifier in self.backlog
 
     def release(
         self, identifier: str, report: slot_limiters.CallReport | None = None
     ) -> None:
-        """Forget a call, whether it waits or holds a slot.
+        """Remove a call, whether it waits or holds a slot.
 
-        :param served: what its holder saw, if it was served.
+        :param identifier: the call's identifier; unknown ones are ignored.
+        :param report: measurements of the call, if a worker ran it.
         """
         self._dequeue(identifier)
         grant = self.granted.pop(identifier, None)
@@ -127,7 +132,10 @@
         )
 
     def grant_next(self) -> Grant | None:
-        """Grant a slot to the next call, if both exist."""
+        """Grant a slot to the next call.
+
+        Returns None if no slot is available or no waiting call can use one.
+        """
         free = self.workers.available()
         if not free:
             return None
@@ -135,7 +143,8 @@
             self.backlog.deficits.order_ranks(self.backlog.waiting_ranks())
         )
         for position, rank in enumerate(ranks):
-            # A rank that goes before a more urgent one is owed its share.
+            # Ranks sort before more urgent ones only while they have a
+            # deficit. Isolation must not withhold their share.
             is_owed = rank > min(ranks[position:])
             eligible = free
             if not is_owed:
@@ -146,14 +155,14 @@
         return None
 
     def shed_excess(self) -> list[queue_orders.SlotRequest]:
-        """Take out and return calls that would wait too long."""
+        """Remove and return the calls beyond the ranks' queue limits."""
         excess = self.backlog.excess(self.workers.slot_interval_ms)
         for request in excess:
             self._dequeue(request.identifier)
         return excess
 
     def expected_wait_ms(self, rank: int) -> float:
-        """Return how long a rank's next arrival will wait."""
+        """Return the expected wait of a rank's next arrival, in ms."""
         return self.backlog.expected_wait_ms(
             rank, self.workers.slot_interval_ms
         )
@@ -165,7 +174,11 @@
     def _grant_from_rank(
         self, rank: int, free: Sequence[placements.WorkerLoad]
     ) -> Grant | None:
-        """Grant to one of the first calls of a rank that takes a slot."""
+        """Grant a slot to the first call of a rank that accepts a worker.
+
+        Calls that the placement policy defers are put back into the queue.
+        At most ``MAX_DEFERRED_CALLS`` calls are tried.
+        """
         deferred = []
         grant = None
         while free and grant is None and len(deferred) < MAX_DEFERRED_CALLS:
--- a/src/carobfork/coordination/isolations.py
+++ b/src/carobfork/coordination/isolations.py
@@ -1,9 +1,10 @@
-"""Isolation: keep batches short on the engines where urgent calls run.
+"""Keep batches small on the workers that run latency-sensitive calls.
 
-An engine serves its whole batch at one pace and knows no ranks, so order in
-the queue alone does not protect a stream from a batch full of other work. A
-rank that asks for a time between tokens gets engines to itself as far as it
-needs them; other ranks fill the remaining ones.
+A backend server with a model engine runs its whole batch at one speed and
+does not know ranks, so the order of the queue alone does not protect a
+stream from a batch full of other calls. A rank with a target for the time
+between tokens therefore gets as many workers as it needs mostly to itself;
+other ranks fill the remaining ones.
 """
 
 import collections
@@ -15,25 +16,29 @@
 from carobfork.state import bundles
 
 ISOLATION_TTL_MS = 3000
-"""How long an engine stays isolated after its last isolating grant."""
+"""How long a worker stays isolated after its last isolating grant."""
 _OTHER_RANKS_RATIO = 0.5
-"""Part of the short batch that calls of other ranks may fill."""
+"""Fraction of an isolated worker's batch limit that calls of other ranks may
+fill."""
 _FILL_RATIO = 0.8
-"""Part of the short batches that isolating calls fill before one more worker
-is isolated."""
+"""Fraction of the isolated workers' batch limits that isolating calls fill
+before another worker is isolated."""
 
 
 class WorkerIsolation:
-    """Choose the workers that a rank's calls may use.
+    """Select the workers that a rank's calls may use.
+
+    Calls of a rank with a target for the time between tokens are called
+    isolating, since they isolate the workers that run them.
 
     :param ranks: the bundle's ranks, most urgent first.
-    :param timer: measures how long a worker stays isolated.
+    :param timer: the clock for the time that a worker stays isolated.
     """
 
     def __init__(
         self, ranks: Sequence[bundles.Rank], timer: clock.Clock
     ) -> None:
-        """Start without isolated workers."""
+        """Create an instance without isolated workers."""
         self._ranks = ranks
         self._timer = timer
         self._latency_models: dict[str, latency_models.LatencyModel] = {}
@@ -41,15 +46,15 @@
         self._isolated_until_ms: dict[str, float] = {}
 
     def apply(self, ranks: Sequence[bundles.Rank]) -> None:
-        """Take over the ranks of a bundle."""
+        """Apply the ranks of a bundle."""
         self._ranks = ranks
 
     def has_latency_target(self, rank: int) -> bool:
-        """Tell whether a rank asks for a time between tokens."""
+        """Return whether a rank has a target for the time between tokens."""
         return bool(self._target_ms(rank))
 
     def record_grant(self, rank: int, worker: str) -> None:
-        """Note a slot that was granted."""
+        """Record a slot that was granted to a rank's call."""
         if self.has_latency_target(rank):
             self._isolating_calls[worker] += 1
             self._isolated_until_ms[worker] = (
@@ -63,7 +68,13 @@
         report: slot_limiters.CallReport,
         busy: int,
     ) -> None:
-        """Note a slot that came free, and learn from it."""
+        """Record a released slot and update the worker's latency model.
+
+        :param rank: the call's rank.
+        :param worker: the worker's name.
+        :param report: measurements of the call.
+        :param busy: slots that were held on the worker, this one included.
+        """
         if self.has_latency_target(rank):
             self._isolating_calls[worker] = max(
                 0, self._isolating_calls[worker] - 1
@@ -79,8 +90,9 @@
     ) -> Sequence[placements.WorkerLoad]:
         """Return the free workers that a rank's call may use now.
 
-        A call that isolates is never left without a worker; it takes
-        isolated ones with room first, so that few are isolated.
+        Isolating calls may use any free worker if all batches are at their
+        limits. They use isolated workers below the limit first, so that few
+        workers are isolated.
         """
         isolated_names = self._isolated_workers(free)
         if not self.has_latency_target(rank):
@@ -98,7 +110,11 @@
     def _isolated_workers(
         self, free: Sequence[placements.WorkerLoad]
     ) -> set[str]:
-        """Return the workers to keep isolated, those used most first."""
+        """Return the names of the workers to keep isolated.
+
+        Workers with the most isolating calls are kept first. Their number is
+        bounded by what the isolating calls and one more need.
+        """
         now_ms = self._timer.now_ms()
         isolated = sorted(
             (
--- a/src/carobfork/coordination/latency_models.py
+++ b/src/carobfork/coordination/latency_models.py
@@ -1,6 +1,7 @@
-"""Paces: how an engine's time between tokens grows with its batch.
+"""Model how a backend server's time between tokens grows with its batch.
 
-The line is fitted to what holders report; older reports count less.
+A line is fitted to the reports of the hosts that hold slots. The weight of a
+report decays with each later one.
 """
 
 import math
@@ -11,10 +12,10 @@
 
 
 class LatencyModel:
-    """Fit the time between tokens as a line over the slots in use."""
+    """Weighted linear regression of time between tokens on slots in use."""
 
     def __init__(self) -> None:
-        """Start without reports."""
+        """Create a model without reports."""
         self._weight = 0
         self._busy = 0
         self._between_ms = 0
@@ -22,7 +23,11 @@
         self._product = 0
 
     def observe(self, busy: int, between_tokens_ms: float) -> None:
-        """Learn from a call that ended while ``busy`` slots were held."""
+        """Update the model with a call's report.
+
+        :param busy: slots that were held when the call ended.
+        :param between_tokens_ms: mean time between the call's tokens.
+        """
         self._weight = self._weight * _DECAY + 1
         self._busy = self._busy * _DECAY + busy
         self._between_ms = self._between_ms * _DECAY + between_tokens_ms
@@ -30,7 +35,12 @@
         self._product = self._product * _DECAY + busy * between_tokens_ms
 
     def max_slots(self, target_ms: float) -> float:
-        """Return how many slots keep the target, infinite if unknown."""
+        """Return the number of slots that meets a target.
+
+        It is at least one, and infinite if there are no reports.
+
+        :param target_ms: longest mean time between tokens.
+        """
         if not self._between_ms:
             return math.inf
         mean_busy = self._busy / self._weight
@@ -41,7 +51,8 @@
             covariance = self._product / self._weight - mean_busy * mean_ms
             slope = covariance / variance
         if slope <= 0:
-            # No spread yet: take the time to be proportional to the slots.
+            # Without variance there is no line; assume that the time is
+            # proportional to the slots.
             slope = mean_ms / mean_busy
         slots = mean_busy + (target_ms - mean_ms) / slope
         return max(_MIN_SLOTS, int(slots))
--- a/src/carobfork/coordination/placements.py
+++ b/src/carobfork/coordination/placements.py
@@ -1,7 +1,8 @@
-"""Placements: which worker of a pool gets the next call.
+"""Choose the worker (backend server) of a pool that runs the next call.
 
-Policies fill a registry by decorator; the bundle names the one in force.
-A policy may return no worker: the call then waits for a busy one.
+Policies register themselves by a decorator; the bundle names the one in
+force. A policy that returns no worker defers the call: it waits for a busy
+worker although others are free.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -18,38 +19,45 @@
 
 @attrs.define
 class WorkerLoad:
-    """What the dispatcher knows of one worker."""
+    """Load and learned figures of one worker.
+
+    :param name: the worker's name.
+    :param limiter: the policy that sets the worker's slot limit.
+    :param busy: slots that are held.
+    :param leaving: whether the worker gets no further slots.
+    """
 
     name: str
     limiter: slot_limiters.SlotLimiter
     busy: int = 0
     leaving: bool = False
     deferred_calls: int = 0
-    """Calls that wait for this worker while others are free."""
+    """Calls that were deferred to wait for this worker."""
     granted_total: int = 0
-    """Slots granted since the start."""
+    """Slots granted since this object was created."""
     hold_ms: float = 0
-    """How long a slot is held on average, 0 where unknown."""
+    """Moving average of the time that a slot is held, 0 if unknown."""
     prefill_tokens_per_ms: float = DEFAULT_PREFILL_TOKENS_PER_MS
     failures: int = 0
-    """Calls that failed since one succeeded."""
+    """Consecutive failed calls."""
     retry_at_ms: float = 0
-    """When a call may try a worker again that failed."""
+    """Earliest time of the next attempt at a worker whose last call failed."""
 
     @property
     def slot_limit(self) -> int:
-        """Most slots to grant at a time."""
+        """Maximum number of slots that may be held."""
         return self.limiter.limit
 
     @property
     def free(self) -> int:
-        """Slots that may be granted now, but for failures."""
+        """Slots that are free, regardless of failures."""
         return 0 if self.leaving else self.slot_limit - self.busy
 
     def is_available(self, now_ms: float) -> bool:
-        """Tell whether a slot may be granted.
+        """Return whether a slot may be granted.
 
-        After a failure, one call at a time finds out whether it is over.
+        After a failure, only one call at a time is sent to the worker, and
+        none before ``retry_at_ms``, until a call succeeds.
         """
         if self.failures and (self.busy or now_ms < self.retry_at_ms):
             return False
@@ -57,24 +65,29 @@
 
     @property
     def expected_wait_ms(self) -> float:
-        """How long until a slot comes free for one more call."""
+        """Expected wait of one more deferred call for a slot, in ms."""
         return self.hold_ms * (self.deferred_calls + 1) / max(self.busy, 1)
 
     def is_awaitable(self, request: queue_orders.SlotRequest) -> bool:
-        """Tell whether a call may wait for this worker."""
+        """Return whether a call may be deferred to wait for this worker."""
         failing = self.failures or self.name in request.avoided
         return not failing and not self.leaving
 
     def adopt_slot(self) -> None:
-        """Count a slot that another dispatcher had granted.
+        """Count a slot that another dispatcher granted.
 
-        The limit learnt there was no lower than the slots in use.
+        The limit is raised to the slots in use, since the other dispatcher's
+        limit was at least that high.
         """
         self.busy += 1
         self.limiter.limit = max(self.limiter.limit, self.busy)
 
     def observe(self, report: slot_limiters.CallReport, now_ms: float) -> None:
-        """Learn from a slot that was released."""
+        """Update failures, slot limit and averages from a released slot.
+
+        The delay before the next attempt doubles with each consecutive
+        failure, at most ``MAX_RETRY_DOUBLINGS`` times.
+        """
         if report.failed:
             doublings = min(self.failures, MAX_RETRY_DOUBLINGS)
             self.failures += 1
@@ -92,9 +105,12 @@
 
 @attrs.frozen
 class Candidates:
-    """What a placement chooses from.
+    """Workers that a placement policy chooses from.
 
-    ``passed_ms`` is how long the call has been passed over already.
+    :param free: the workers with a free slot that the call may use.
+    :param workers: all workers of the pool by name.
+    :param deferred_ms: time since the call was first deferred, 0 if it was
+        not.
     """
 
     free: Sequence[WorkerLoad]
@@ -119,7 +135,11 @@
 
 
 def moving_average(mean: float, sample: float) -> float:
-    """Return a moving average; a mean of 0 stands for no samples yet."""
+    """Return an exponential moving average updated with a sample.
+
+    :param mean: the average so far; 0 means that there are no samples.
+    :param sample: the new sample.
+    """
     return mean + _SAMPLE_WEIGHT * (sample - mean) if mean else sample
 
 
@@ -127,7 +147,7 @@
 def place_round_robin(
     request: queue_orders.SlotRequest, candidates: Candidates
 ) -> WorkerLoad | None:
-    """Take turns."""
+    """Choose the worker that was granted the fewest slots so far."""
     return min(candidates.free, key=lambda load: load.granted_total)
 
 
@@ -135,7 +155,10 @@
 def place_least_loaded(
     request: queue_orders.SlotRequest, candidates: Candidates
 ) -> WorkerLoad | None:
-    """Choose the worker with the most free slots."""
+    """Choose the worker with the most free slots.
+
+    Among equals it is the one that was granted the fewest slots so far.
+    """
     return max(
         candidates.free, key=lambda load: (load.free, -load.granted_total)
     )
@@ -145,7 +168,7 @@
 def place_by_affinity(
     request: queue_orders.SlotRequest, candidates: Candidates
 ) -> WorkerLoad | None:
-    """Return to the worker that holds the prefix, else the least loaded."""
+    """Choose the worker that has the prefix cached, else the least loaded."""
     for load in candidates.free:
         if load.name == request.last_worker:
             return load
@@ -156,9 +179,11 @@
 def place_by_cost(
     request: queue_orders.SlotRequest, candidates: Candidates
 ) -> WorkerLoad | None:
-    """Wait for the worker that holds the prefix while that is cheaper.
+    """Defer the call while waiting for its cached prefix costs less.
 
-    Waiting is given up once it has lasted as long as the prefill elsewhere.
+    The time already deferred plus the expected wait is compared with the
+    time that the prefill takes on another worker. The wait is therefore
+    bounded by that prefill time.
     """
     best = place_by_affinity(request, candidates)
     cached = candidates.workers.get(request.last_worker)
--- a/src/carobfork/coordination/pools.py
+++ b/src/carobfork/coordination/pools.py
@@ -1,7 +1,8 @@
-"""Pools: groups of one model's workers with one queue each.
+"""Split the workers of each model into pools with one queue each.
 
-The host that is responsible for a pool is found by rendezvous hashing, so
-hosts agree on it without talking and a death moves only that host's pools.
+A worker stands for one backend server. The host that serves a pool is found
+by rendezvous hashing, so hosts agree on it without communication, and when a
+host fails only its own pools move.
 """
 
 from collections.abc import Iterable
@@ -16,7 +17,7 @@
 
 @attrs.frozen
 class Pool:
-    """Some workers of one model."""
+    """A group of workers of one model that share a queue."""
 
     name: str
     model: str
@@ -24,7 +25,7 @@
 
 
 def split_model(model: bundles.Model) -> list[Pool]:
-    """Return the pools of a model."""
+    """Return the pools of a model, named ``model/number``."""
     starts = range(0, len(model.workers), MAX_POOL_WORKERS)
     return [
         Pool(
@@ -37,7 +38,7 @@
 
 
 def split_bundle(bundle: bundles.Bundle) -> dict[str, Pool]:
-    """Return all pools of a bundle by name."""
+    """Return the pools of all models of a bundle by name."""
     pools = (pool for model in bundle.models for pool in split_model(model))
     return {pool.name: pool for pool in pools}
 
@@ -45,17 +46,21 @@
 def responsible_host(
     pool: str, hosts: Iterable[routing.EntryHost]
 ) -> routing.EntryHost:
-    """Return the host whose dispatcher serves a pool."""
+    """Return the host that serves a pool."""
     return max(hosts, key=lambda host: _weight(pool, host.incarnation.host))
 
 
 def preferred_pool(
     last_worker: str, own_host: str, candidates: Iterable[Pool]
 ) -> Pool:
-    """Return the pool that a call of this host asks.
+    """Return the pool that a call of this host is sent to.
 
-    It is the one with the program's last worker, else the one that this
-    host prefers, so that a host talks to few pools.
+    It is the pool with the program's last worker, otherwise the one that
+    hashing selects for this host, so that a host uses few pools.
+
+    :param last_worker: the worker that last served the program, or ''.
+    :param own_host: the name of this host.
+    :param candidates: the pools of the call's model.
     """
     pools = list(candidates)
     for pool in pools:
--- a/src/carobfork/coordination/queue_orders.py
+++ b/src/carobfork/coordination/queue_orders.py
@@ -1,8 +1,9 @@
-"""Orders: who is next among the calls that wait for a slot.
+"""Order the calls that wait for a slot on a worker (backend server).
 
-Policies fill a registry by decorator; the bundle names the one in force.
-A policy returns a sort key that does not change while a call waits, so a
-heap can hold the queue; the smallest key is served first.
+Policies register themselves by a decorator; the bundle names the one in
+force. A policy returns a sort key, and the call with the smallest key is
+served first. The key must not change while a call waits, since the queue is
+kept in a heap.
 """
 
 from collections.abc import Callable
@@ -10,11 +11,17 @@
 import attrs
 
 AGEING_TOKENS_PER_MS = 0.5
+"""Attained tokens that one millisecond of waiting offsets."""
 
 
 @attrs.frozen
 class SlotRequest:
-    """A call that waits for a slot on one of a model's workers."""
+    """A call's request for a slot on one of a model's workers.
+
+    :param identifier: the call's identifier.
+    :param program: the identifier of the call's program.
+    :param model: the model's name.
+    """
 
     identifier: str
     program: str
@@ -22,20 +29,20 @@
     rank: int
     """Position of the rank, 0 for the most urgent."""
     attained_tokens: int
-    """What the program has been served so far."""
+    """Tokens that the program was served so far."""
     arrived_ms: float = 0
-    """Arrival on the dispatcher's own clock."""
+    """Time of arrival on the dispatcher's own clock."""
     last_worker: str = ''
-    """Where the program's prefix was last cached."""
+    """The worker on which the program's prefix was last cached."""
     prompt_tokens: int = 0
     kind: str = ''
     """The program's kind."""
     started: bool = True
-    """Whether the program, or its parent, has been served before."""
+    """Whether the program or its parent was served before."""
     avoided: tuple[str, ...] = ()
-    """Workers at which the call failed, to be avoided where others are."""
+    """Workers on which the call failed, used only if no others are free."""
     waited_ms: float = 0
-    """What the call has waited already, by its holder's clock."""
+    """How long the call has already waited, by the clock of its host."""
 
 
 KeyFunction = Callable[[SlotRequest], float]
@@ -43,7 +50,11 @@
 
 @attrs.frozen
 class OrderPolicy:
-    """A sort key, and whether ranks are kept apart."""
+    """A queue order.
+
+    :param key: returns a call's sort key.
+    :param by_rank: whether each rank has a queue of its own.
+    """
 
     key: KeyFunction
     by_rank: bool = True
@@ -55,7 +66,11 @@
 def register(
     name: str, *, by_rank: bool = True
 ) -> Callable[[KeyFunction], KeyFunction]:
-    """Register a sort key under a name."""
+    """Register a sort key under a name.
+
+    :param name: the name that bundles use.
+    :param by_rank: whether each rank has a queue of its own.
+    """
 
     def decorator(key: KeyFunction) -> KeyFunction:  # noqa: WPS430
         ORDERS[name] = OrderPolicy(key, by_rank)
@@ -67,24 +82,25 @@
 @register('rank_fifo')
 @register('fifo', by_rank=False)
 def by_arrival(request: SlotRequest) -> float:
-    """Serve in order of arrival; ``fifo`` does so whatever the rank."""
+    """Serve in order of arrival; ``fifo`` ignores ranks."""
     return request.arrived_ms
 
 
 @register('least_attained')
 def least_attained_first(request: SlotRequest) -> float:
-    """Serve, within a rank, the program that has been served least.
+    """Serve, within a rank, the program that was served the fewest tokens.
 
-    Each ms of waiting counts as tokens not yet attained. As all waiting
-    calls age alike, arrival times order them as their ages would.
+    Each millisecond of waiting offsets ``AGEING_TOKENS_PER_MS`` attained
+    tokens, so that no call starves. All waiting calls age at the same rate,
+    so arrival times can stand for ages and the key stays constant.
     """
     return request.attained_tokens + request.arrived_ms * AGEING_TOKENS_PER_MS
 
 
 @register('most_attained')
 def most_attained_first(request: SlotRequest) -> float:
-    """Serve, within a rank, the program that has been served most.
+    """Serve, within a rank, the program that was served the most tokens.
 
-    Ageing is the same as that of ``least_attained``.
+    Calls age as under ``least_attained``.
     """
     return request.arrived_ms * AGEING_TOKENS_PER_MS - request.attained_tokens
--- a/src/carobfork/coordination/rank_deficits.py
+++ b/src/carobfork/coordination/rank_deficits.py
@@ -1,8 +1,9 @@
-"""Floors: the part of the capacity that each rank keeps in any flood.
+"""Guarantee each rank its share of a pool's capacity by deficit accounting.
 
-While a rank has waiting calls, it is owed its share of every token that
-the pool serves, and what it is served is taken off again. A rank that is
-owed tokens goes first; otherwise the most urgent one does.
+While a rank has waiting calls, its deficit grows by its share of every token
+that the pool's workers (backend servers) serve, and shrinks by the tokens
+served to the rank itself. Ranks with a positive deficit are served first,
+and otherwise the most urgent rank is.
 """
 
 from collections.abc import Iterable, Sequence
@@ -11,13 +12,13 @@
 
 
 class RankDeficits:
-    """Choose the rank to serve next.
+    """Token deficits that decide which rank is served next.
 
-    :param shares: each rank's share, the most urgent first.
+    :param shares: each rank's guaranteed share (0 to 1), most urgent first.
     """
 
     def __init__(self, shares: Sequence[float]) -> None:
-        """Start with nothing owed."""
+        """Create deficits of zero."""
         self.deficit_tokens = [0 for _ in shares]
         self._shares = tuple(shares)
 
@@ -28,11 +29,12 @@
         )
 
     def charge(self, served: int, tokens: float, waiting: set[int]) -> None:
-        """Account tokens served to one rank while others wait.
+        """Account for tokens served to one rank.
 
         :param served: the rank that was served.
-        :param tokens: negative to correct what was charged too much.
-        :param waiting: ranks with waiting calls; others are owed nothing.
+        :param tokens: the tokens; negative to refund an overcharge.
+        :param waiting: ranks with waiting calls; the deficits of all other
+            ranks are reset to zero.
         """
         for rank, share in enumerate(self._shares):
             deficit = self.deficit_tokens[rank] + share * tokens
--- a/src/carobfork/coordination/slot_limiters.py
+++ b/src/carobfork/coordination/slot_limiters.py
@@ -1,8 +1,9 @@
-"""Limits: how many slots an engine gets, learnt from what it shows.
+"""Adapt the number of slots of a backend server to the latency it shows.
 
-Holders measure first-token and between-token times and report them when
-they release a slot; an engine's own load reports, late or missing, are not
-needed. Policies fill a registry by decorator.
+Hosts that hold slots measure the time to the first token and between tokens
+and report both when they release a slot. The engines' own load reports,
+which may be late or missing, are not needed. Policies register themselves by
+a decorator; the bundle names the one in force.
 """
 
 from collections.abc import Callable
@@ -17,9 +18,14 @@
 
 @attrs.frozen
 class CallReport:
-    """What a holder saw of one call, reported when it releases the slot.
+    """Measurements of one call, reported when its slot is released.
 
-    Times are 0 where the call ended before they were known.
+    Times are 0 if the call ended before they were known.
+
+    :param held_ms: time from the grant to the release.
+    :param first_token_ms: time from the grant to the first output.
+    :param between_tokens_ms: mean time between output tokens.
+    :param output_tokens: tokens that were generated.
     """
 
     held_ms: float = 0
@@ -29,21 +35,25 @@
     prefilled_tokens: int = 0
     """Prompt tokens that were not in the engine's cache."""
     failed: bool = False
-    """Whether the engine could not be reached or broke off."""
+    """Whether the connection to the engine failed or was lost."""
 
     @property
     def tokens(self) -> int:
-        """Tokens that the engine computed for the call."""
+        """Tokens that the engine computed, prefilled and generated."""
         return self.output_tokens + self.prefilled_tokens
 
 
 class SlotLimiter(Protocol):
-    """Decide how many slots one engine gets."""
+    """Policy that sets the slot limit of one engine."""
 
     limit: int
 
     def observe(self, report: CallReport, busy: int) -> None:
-        """Learn from a call that ended while ``busy`` slots were held."""
+        """Update the limit with a call's report.
+
+        :param report: measurements of the call.
+        :param busy: slots that were held when the call ended.
+        """
 
 
 LimiterFactory = Callable[[float], SlotLimiter]
@@ -51,7 +61,10 @@
 
 
 def register(name: str) -> Callable[[LimiterFactory], LimiterFactory]:
-    """Register a limiter under a name; it takes the target in ms."""
+    """Register a limiter under a name.
+
+    A limiter's factory takes the target for the time between tokens, in ms.
+    """
 
     def decorator(factory: LimiterFactory) -> LimiterFactory:  # noqa: WPS430
         LIMITERS[name] = factory
@@ -68,20 +81,21 @@
     """
 
     def __init__(self, target_ms: float) -> None:
-        """Start with the limit that stays."""
+        """Set the limit, which does not change."""
         self.limit = INITIAL_SLOT_LIMIT
 
     def observe(self, report: CallReport, busy: int) -> None:
-        """Learn nothing."""
+        """Ignore the report."""
 
 
 @register('aimd')
 class AimdLimiter:
-    """Add a slot while between-token times meet the target, else cut.
+    """Additive increase, multiplicative decrease around a latency target.
 
-    One round of samples, as many as there are slots, changes the limit once,
-    so that a change shows before the next one. Far below the target half as
-    many slots again are added, as times grow no faster than the slots.
+    The limit changes once per window of as many samples as there are slots,
+    so that the effect of a change is measured before the next one. Far below
+    the target the limit grows by half instead of by one, which is safe since
+    the time between tokens grows no faster than the number of slots.
 
     :param target_ms: longest time between tokens.
     """
@@ -89,17 +103,19 @@
     decrease_ratio = 0.8
     increase_ratio = 1.5
     target_ratio = 0.9
-    """What the mean of a round may reach, so that the tail meets the target."""
+    """Fraction of the target that a window's mean may reach. The margin lets
+    the tail of the distribution meet the target too."""
     headroom_ratio = 0.5
+    """Fraction of the target below which the limit grows faster."""
 
     def __init__(self, target_ms: float) -> None:
-        """Start with the initial limit."""
+        """Set the initial limit."""
         self.limit = INITIAL_SLOT_LIMIT
         self._target_ms = target_ms
         self._window = _SampleWindow()
 
     def observe(self, report: CallReport, busy: int) -> None:
-        """Learn from a call that ended while ``busy`` slots were held."""
+        """Update the limit once a window of samples is complete."""
         if not report.between_tokens_ms:
             return
         self._window.add(report, busy)
@@ -122,11 +138,12 @@
 
 @register('gradient')
 class GradientLimiter:
-    """Climb while one more slot still raises the engine's throughput.
+    """Raise the limit while more slots increase the engine's throughput.
 
-    The throughput of a round is the slots in use over the time between
-    tokens. The limit goes on in its direction while throughput grows by a
-    part of what the slots grew by, and turns round otherwise.
+    The throughput of a window of samples is the slots in use divided by the
+    time between tokens. The limit keeps changing in the same direction while
+    the relative change of throughput is at least ``min_gain_ratio`` of that
+    of the slots, and reverses otherwise.
 
     :param target_ms: not used.
     """
@@ -135,14 +152,14 @@
     min_gain_ratio = 0.25
 
     def __init__(self, target_ms: float) -> None:
-        """Start with the initial limit."""
+        """Set the initial limit."""
         self.limit = INITIAL_SLOT_LIMIT
         self._window = _SampleWindow()
         self._last_limit = 0
         self._last_throughput = 0
 
     def observe(self, report: CallReport, busy: int) -> None:
-        """Learn from a call that ended while ``busy`` slots were held."""
+        """Update the limit once a window of samples is complete."""
         if not report.between_tokens_ms:
             return
         self._window.add(report, busy)
@@ -160,7 +177,8 @@
             or not slot_growth
         ):
             step = -step
-        # Going down, few tokens lost for many slots cut confirm the way.
+        # After a decrease, a throughput that fell little compared with the
+        # slots is a reason to go on down, so the direction is inverted.
         if slot_growth < 0:
             step = -step
         self._last_limit = self.limit
@@ -170,7 +188,7 @@
 
 @attrs.define
 class _SampleWindow:
-    """Samples since the limit last changed."""
+    """Sums over the samples of the current window."""
 
     samples: int = 0
     total_ms: float = 0
