--- a/src/carobfork/coordination/outcome_counts.py
+++ b/src/carobfork/coordination/outcome_counts.py
@@ -1,4 +1,4 @@
-"""Outcome counts: how callers' requests ended, by outcome and code."""
+"""Count the callers' requests by outcome and error code."""
 
 import collections
 
@@ -11,17 +11,24 @@
 
 @attrs.frozen
 class Ending:
-    """How a request ended: outcome class and error code, if any."""
+    """How a request ended.
+
+    :param outcome: the outcome class.
+    :param code: the error's code, empty if the request was answered.
+    """
 
     outcome: str
     code: str = ''
 
 
 class OutcomeCounts:
-    """Count the endings of requests; codes are those of the error classes."""
+    """Counters of request endings.
+
+    Errors that are not of this package count as internal errors.
+    """
 
     def __init__(self) -> None:
-        """Start at zero."""
+        """Create counters of zero."""
         self.counts: collections.Counter[Ending] = collections.Counter()
 
     def count(self, outcome: str) -> None:
--- a/src/carobfork/coordination/placers.py
+++ b/src/carobfork/coordination/placers.py
@@ -1,4 +1,7 @@
-"""Placers: apply a placement policy, and remember who waits for a worker."""
+"""Apply a placement policy and track the calls that it defers.
+
+A deferred call waits for a certain worker (backend server).
+"""
 
 from collections.abc import Mapping, Sequence
 
@@ -10,23 +13,23 @@
 
 @attrs.frozen
 class _Deferral:
-    """A call that was passed over to wait for a worker."""
+    """The worker that a deferred call waits for, and since when."""
 
     load: placements.WorkerLoad
     since_ms: float
 
 
 class Placer:
-    """Choose workers, or pass calls over for a while.
+    """Placement policy with the deferrals that it decided on.
 
     :param policy: the placement policy in force.
-    :param timer: measures how long a call has been passed over.
+    :param timer: the clock for the time that calls are deferred.
     """
 
     def __init__(
         self, policy: placements.PlacementPolicy, timer: clock.Clock
     ) -> None:
-        """Start without calls passed over."""
+        """Create a placer without deferred calls."""
         self._policy = policy
         self._timer = timer
         self._deferrals: dict[str, _Deferral] = {}
@@ -37,7 +40,12 @@
         free: Sequence[placements.WorkerLoad],
         workers: Mapping[str, placements.WorkerLoad],
     ) -> placements.WorkerLoad | None:
-        """Return a free worker, or nothing to pass the call over."""
+        """Return a free worker, or None if the call is deferred.
+
+        :param request: the call.
+        :param free: the workers with a free slot that the call may use.
+        :param workers: all workers of the pool by name.
+        """
         now_ms = self._timer.now_ms()
         deferral = self._deferrals.get(request.identifier)
         since_ms = deferral.since_ms if deferral else now_ms
@@ -51,7 +59,7 @@
         return load
 
     def remove(self, identifier: str) -> None:
-        """Forget a call that was placed or went away."""
+        """Remove the deferral of a call that was placed or has ended."""
         deferral = self._deferrals.pop(identifier, None)
         if deferral is not None:
             deferral.load.deferred_calls -= 1
--- a/src/carobfork/coordination/pool_hosts.py
+++ b/src/carobfork/coordination/pool_hosts.py
@@ -1,8 +1,8 @@
-"""Pool hosts: the pools whose slots this host grants.
+"""Serve the pools whose slots this host grants.
 
-A host serves whichever pool it is asked for. Holders decide whom they ask;
-while two of them disagree, a pool is served twice and its engines get a few
-calls too many.
+A host serves any pool that it is asked for; the hosts that ask choose it by
+their own routes. While two of them disagree, two hosts serve the same pool,
+and its workers (backend servers) get a few calls more than their limits.
 """
 
 from collections.abc import Callable, Iterable
@@ -27,7 +27,14 @@
 
 @attrs.frozen
 class WorkerSlots:
-    """A worker's slots, for the state dump."""
+    """A worker's slots in the state dump.
+
+    :param worker: the worker's name.
+    :param limit: the slot limit.
+    :param busy: slots that are held.
+    :param leaving: whether the worker gets no further slots.
+    :param hold_ms: average time that a slot is held, 0 if unknown.
+    """
 
     worker: str
     limit: int
@@ -38,7 +45,13 @@
 
 @attrs.frozen
 class PoolState:
-    """A pool's queue and slots, for the state dump."""
+    """A pool's queue and slots in the state dump.
+
+    :param pool: the pool's name.
+    :param waiting: number of waiting calls by rank.
+    :param owed_tokens: each rank's deficit, most urgent rank first.
+    :param workers: the workers' slots.
+    """
 
     pool: str
     waiting: dict[str, int]
@@ -47,11 +60,12 @@
 
 
 class PoolHost:
-    """Grant the slots of pools to all entry hosts.
+    """Server of slots for all pools that this host is asked for.
 
-    :param mailbox: carries the messages.
+    :param mailbox: receives and sends the slot messages.
     :param timer: the dispatchers' clock.
-    :param unusable: returns the workers that are leaving or out of order.
+    :param find_unusable: returns the names of workers that are leaving or
+        failed.
     """
 
     def __init__(
@@ -60,7 +74,7 @@
         timer: clock.Clock,
         find_unusable: Callable[[], Iterable[str]] = tuple,
     ) -> None:
-        """Start without pools; a bundle brings them."""
+        """Create an instance without pools; a bundle defines them."""
         self._mailbox = mailbox
         self._timer = timer
         self._find_unusable = find_unusable
@@ -81,7 +95,7 @@
         )
 
     def apply_bundle(self, bundle: bundles.Bundle) -> None:
-        """Take over a bundle's pools; those that it lacks are dropped."""
+        """Apply a bundle's pools and drop those that it does not have."""
         self._bundle = bundle
         self._pools = pools.split_bundle(bundle)
         for name in set(self._servers) - set(self._pools):
@@ -90,7 +104,7 @@
             server.apply(self._pools[name], bundle)
 
     def mark_leaving(self, workers: Iterable[str]) -> None:
-        """Grant no more slots on these workers, and again on all others."""
+        """Stop granting slots on these workers and resume on all others."""
         leaving = frozenset(workers)
         if leaving == self._leaving:
             return
@@ -100,12 +114,12 @@
             server.grant()
 
     def release_host(self, host: routing.EntryHost) -> None:
-        """Free the slots of a host that died."""
+        """Release the slots of a failed host."""
         for server in self._servers.values():
             server.remove_holder(host.incarnation)
 
     def run(self) -> None:
-        """Grant what became due until the greenlet is killed."""
+        """Grant slots and check holders periodically until killed."""
         while True:
             for _ in range(TICK_INTERVAL_MS // GRANT_INTERVAL_MS):
                 gevent.sleep(clock.to_seconds(GRANT_INTERVAL_MS))
@@ -113,30 +127,34 @@
             self.tick()
 
     def grant(self) -> None:
-        """Grant slots to calls that have waited for their worker enough."""
+        """Grant slots in all pools with waiting calls.
+
+        Deferred calls and failed workers become due by time alone, without a
+        message.
+        """
         self.mark_leaving(self._find_unusable())
         for server in self._servers.values():
             if len(server.dispatcher.backlog):
                 server.grant()
 
     def tick(self) -> None:
-        """Shorten queues and forget holders that fell silent."""
+        """Shed excess calls and remove silent holders in all pools."""
         self._mailbox.refresh()
         for server in self._servers.values():
             server.tick()
 
     def describe(self) -> list[PoolState]:
-        """Return the state of the pools that are served here."""
+        """Return the state of at most ``MAX_DUMPED_POOLS`` served pools."""
         servers = list(self._servers.items())[:MAX_DUMPED_POOLS]
         return [_describe(name, server) for name, server in servers]
 
     def _route_to_pool(self, action: Callable) -> Callable:
-        """Return a handler that finds a message's pool and acts on it."""
+        """Return a handler that passes a message to the server of its pool."""
 
         def handle(message) -> None:  # noqa: WPS430
             server = self._find_server(message.pool)
-            # A pool that is not known yet comes with a bundle; until then
-            # the holder's ticks bring the message again.
+            # An unknown pool becomes known with the next bundle. Until then
+            # the holder's periodic summaries repeat what the message said.
             if server is not None:
                 action(server, message)
 
--- a/src/carobfork/coordination/pool_routes.py
+++ b/src/carobfork/coordination/pool_routes.py
@@ -1,8 +1,8 @@
-"""Pool routes: which host serves which pool, as seen from this host.
+"""Choose the host that serves each pool, as seen from this host.
 
-A host that answers no summaries is suspected and passed over until it
-answers again. Hosts may disagree for a moment; that costs a few calls too
-many at an engine.
+A host that does not answer summaries is suspected, and is not chosen until
+it answers again. Hosts may disagree for a short time; a pool's workers
+(backend servers) then get a few calls more than their limits.
 """
 
 from collections.abc import Callable, Iterable
@@ -17,7 +17,12 @@
 
 @attrs.frozen
 class PoolMove:
-    """A pool that is served by another host from now on."""
+    """A change of the host that serves a pool.
+
+    :param pool: the pool's name.
+    :param former: the host that served it so far.
+    :param current: the host that serves it from now on.
+    """
 
     pool: str
     former: identifiers.Incarnation | None
@@ -25,9 +30,10 @@
 
 
 class PoolRoutes:
-    """Choose a host for each pool.
+    """Routing table from pools to the hosts that serve them.
 
-    :param find_own: returns this host, which is never suspected.
+    :param find_own: returns this host's incarnation, which is never
+        suspected.
     :param hosts: the live hosts.
     """
 
@@ -36,7 +42,7 @@
         find_own: Callable[[], identifiers.Incarnation],
         hosts: routing.HostList,
     ) -> None:
-        """Start without pools."""
+        """Create an empty table."""
         self.suspects: set[identifiers.Incarnation] = set()
         self._find_own = find_own
         self._hosts = hosts
@@ -44,7 +50,7 @@
         self._unanswered_counts: dict[identifiers.Incarnation, int] = {}
 
     def apply(self, names: Iterable[str]) -> None:
-        """Route these pools and no others."""
+        """Route exactly these pools; known ones keep their hosts."""
         kept = set(names)
         self._pool_hosts = {
             pool: host
@@ -58,23 +64,26 @@
             )
 
     def find(self, pool: str) -> identifiers.Incarnation | None:
-        """Return the host that serves a pool, nothing for an unknown pool."""
+        """Return the host that serves a pool, or None for an unknown pool."""
         return self._pool_hosts.get(pool)
 
     def record_summary(self, host: identifiers.Incarnation) -> None:
-        """Note a summary that should be answered."""
+        """Record a summary sent to a host, which should answer it.
+
+        The host is suspected after more than ``MAX_UNANSWERED_SUMMARIES``.
+        """
         count = self._unanswered_counts.get(host, 0) + 1
         self._unanswered_counts[host] = count
         if count > MAX_UNANSWERED_SUMMARIES and host != self._find_own():
             self.suspects.add(host)
 
     def record_answer(self, host: identifiers.Incarnation) -> None:
-        """Note that a host answers."""
+        """Record an answer of a host, which ends any suspicion."""
         self._unanswered_counts.pop(host, None)
         self.suspects.discard(host)
 
     def refresh(self) -> list[PoolMove]:
-        """Choose anew among the live hosts and return what moved."""
+        """Update all routes to the live hosts and return the changes."""
         live = {host.incarnation for host in self._hosts.live()}
         self.suspects &= live
         hosts = self._candidate_hosts()
@@ -88,7 +97,10 @@
         return moves
 
     def _candidate_hosts(self) -> list[routing.EntryHost]:
-        """Return the hosts to choose from; this one stays if all others go."""
+        """Return the hosts to choose from, at least this one.
+
+        Suspected and leaving hosts are left out.
+        """
         live = self._hosts.live()
         chosen = [
             host
--- a/src/carobfork/coordination/pool_servers.py
+++ b/src/carobfork/coordination/pool_servers.py
@@ -1,4 +1,7 @@
-"""Pool servers: a pool's dispatcher and the holders that it serves."""
+"""Serve the slots of one pool to the hosts that hold its calls.
+
+The slots are those of the pool's workers, its backend servers.
+"""
 
 import attrs
 
@@ -18,21 +21,26 @@
 
 @attrs.define
 class Holder:
-    """A host with calls open at this pool."""
+    """A host that has calls open at this pool.
+
+    :param open_calls: identifiers of its calls that wait or hold a slot.
+    :param silent_ticks: ticks since its last message.
+    """
 
     open_calls: dict[str, None] = attrs.Factory(dict)
     silent_ticks: int = 0
     had_mismatch: bool = False
-    """Whether its held slots did not match at the last summary."""
+    """Whether the held slots in its last summary differed from those known
+    here."""
 
 
 class PoolServer:
-    """Serve the slots of one pool to all hosts.
+    """Dispatcher of one pool and the state of its holders.
 
     :param pool: the pool.
-    :param bundle: ranks and policies.
+    :param bundle: the bundle with the ranks and policies in force.
     :param timer: the dispatcher's clock.
-    :param mailbox: carries the answers.
+    :param mailbox: sends the answers.
     """
 
     def __init__(
@@ -42,7 +50,7 @@
         timer: clock.Clock,
         mailbox: mailboxes.Mailbox,
     ) -> None:
-        """Start without calls."""
+        """Create a server without calls."""
         self.dispatcher = dispatchers.Dispatcher(pool, bundle, timer)
         self._pool = pool.name
         self._rank_count = len(bundle.ranks)
@@ -52,13 +60,16 @@
         self._holder_by_call: dict[str, identifiers.Incarnation] = {}
 
     def apply(self, pool: pools.Pool, bundle: bundles.Bundle) -> None:
-        """Take over a bundle's workers, ranks and policies."""
+        """Apply the workers, ranks and policies of a bundle."""
         self._rank_count = len(bundle.ranks)
         self.dispatcher.apply_bundle(pool, bundle)
         self.grant()
 
     def submit(self, message: slot_messages.SlotsAsked) -> None:
-        """Queue calls; one that has its slot is told again."""
+        """Queue calls and send grants again to those that have a slot.
+
+        Calls that are not admitted get a refusal with the expected wait.
+        """
         holder = self._touch_holder(message.sender)
         for request in message.requests:
             try:
@@ -72,16 +83,17 @@
         self.grant()
 
     def release(self, message: slot_messages.SlotReleased) -> None:
-        """Forget a call and learn from what was served."""
+        """Remove a call and apply its report."""
         self._touch_holder(message.sender)
         self._remove_call(message.sender, message.identifier, message.served)
         self.grant()
 
     def answer_summary(self, message: slot_messages.SlotsOpen) -> None:
-        """Answer a holder's summary.
+        """Tell a holder whether its summary matches, and the expected waits.
 
-        Held slots must differ twice: a grant may just be on its way, and a
-        whole list is long in a flood.
+        A difference in held slots only counts if the holder's previous
+        summary differed too: a grant may be in transit, and the full list
+        that a mismatch causes is long under high load.
         """
         holder = self._touch_holder(message.sender)
         held = [
@@ -108,11 +120,12 @@
         )
 
     def reconcile(self, message: slot_messages.SlotsListed) -> None:
-        """Take over a holder's whole list.
+        """Replace what is known of a holder's calls by its full list.
 
-        A list that comes before anything else means that another host
-        served the pool: the other holders' lists are awaited for a moment,
-        so that slots already held are not granted twice.
+        If the first message to this server is a list, another host served
+        the pool before. Grants are then paused for ``SETTLING_TICKS`` until
+        the other holders' lists have arrived, so that slots that are already
+        held are not granted twice.
         """
         if not self._holders and (message.held or message.waiting):
             self._settling_ticks = SETTLING_TICKS
@@ -131,21 +144,21 @@
         self.grant()
 
     def remove_holder(self, sender: identifiers.Incarnation) -> None:
-        """Free all slots of a host that is gone."""
+        """Release all slots of a host that is gone."""
         holder = self._holders.pop(sender, Holder())
         for identifier in list(holder.open_calls):
             self._remove_call(sender, identifier)
         self.grant()
 
     def grant(self) -> None:
-        """Grant all slots that can be granted."""
+        """Grant all available slots, unless grants are paused."""
         if self._settling_ticks:
             return
         while (grant := self.dispatcher.grant_next()) is not None:
             self._send_grant(grant)
 
     def tick(self) -> None:
-        """Shorten the queue and forget holders that fell silent."""
+        """Shed excess calls and remove silent or replaced holders."""
         self._settling_ticks = max(0, self._settling_ticks - 1)
         for request in self.dispatcher.shed_excess():
             sender = self._holder_by_call[request.identifier]
@@ -177,7 +190,7 @@
         identifier: str,
         report: slot_limiters.CallReport | None = None,
     ) -> None:
-        """Forget a call, unless another holder has taken it over."""
+        """Remove a call, unless it belongs to another holder by now."""
         if self._holder_by_call.get(identifier) == sender:
             self._holder_by_call.pop(identifier)
             self.dispatcher.release(identifier, report)
--- a/src/carobfork/coordination/pool_waits.py
+++ b/src/carobfork/coordination/pool_waits.py
@@ -1,4 +1,7 @@
-"""Pool waits: how long calls wait at the pools, as their hosts last said."""
+"""Remember the expected waits that the pools' hosts last reported.
+
+The waits are for slots on a pool's workers, its backend servers.
+"""
 
 import attrs
 
@@ -14,22 +17,22 @@
 
 
 class WaitTable:
-    """Remember expected waits for a short time.
+    """Expected waits by pool and rank, each valid for ``WAIT_TTL_MS``.
 
-    :param timer: ages them.
+    :param timer: the clock for the age of the entries.
     """
 
     def __init__(self, timer: clock.Clock) -> None:
-        """Start without any."""
+        """Create an empty table."""
         self._timer = timer
         self._waits: dict[tuple[str, int], _Wait] = {}
 
     def record(self, pool: str, rank: int, wait_ms: float) -> None:
-        """Remember what a rank must wait at a pool."""
+        """Record the expected wait of a rank at a pool."""
         self._waits[pool, rank] = _Wait(wait_ms, self._timer.now_ms())
 
     def get_ms(self, pool: str, rank: int) -> float:
-        """Return what a rank must wait, 0 where it is not known."""
+        """Return the expected wait of a rank, 0 if unknown or expired."""
         wait = self._waits.get((pool, rank))
         if (
             wait is None
--- a/src/carobfork/coordination/prefixes.py
+++ b/src/carobfork/coordination/prefixes.py
@@ -1,4 +1,4 @@
-"""Prefixes: where a program's prompt is likely to be cached."""
+"""Find the backend server that is likely to have a program's prompt cached."""
 
 from carobfork.state import programs
 
@@ -6,9 +6,13 @@
 def last_worker(
     table: programs.ProgramTable, program: programs.Program | None
 ) -> str:
-    """Return the worker that served a program last, or else its parent.
+    """Return the worker that last served a program, else its nearest parent.
 
-    :param table: the programs homed here; a parent elsewhere is not found.
+    Returns an empty string if no answer is recorded.
+
+    :param table: the programs that this host owns; a parent that another
+        host owns is not considered.
+    :param program: the program to start from.
     """
     while program is not None:
         history = program.history()
--- a/src/carobfork/coordination/queues.py
+++ b/src/carobfork/coordination/queues.py
@@ -1,4 +1,4 @@
-"""Queues: the waiting calls of one rank, in the order policy's order."""
+"""Queue the calls of one rank that wait for a backend server's slot."""
 
 import heapq
 
@@ -8,20 +8,23 @@
 
 
 class RankQueue:
-    """Hold calls in a heap; a call that leaves is dropped when it surfaces.
+    """Priority queue of waiting calls.
 
-    :param policy: gives the sort keys.
+    Removal is lazy: the heap entry of a removed call stays until it reaches
+    the top or the heap is compacted.
+
+    :param policy: the queue order with the sort key.
     """
 
     def __init__(self, policy: queue_orders.OrderPolicy) -> None:
-        """Start empty."""
+        """Create an empty queue."""
         self.requests: dict[str, queue_orders.SlotRequest] = {}
         self._policy = policy
         self._heap: list[tuple[float, int, str]] = []
         self._sequence = 0
 
     def __len__(self) -> int:
-        """Return how many calls wait."""
+        """Return the number of waiting calls."""
         return len(self.requests)
 
     def push(self, request: queue_orders.SlotRequest) -> None:
@@ -34,11 +37,11 @@
             self._compact()
 
     def remove(self, identifier: str) -> queue_orders.SlotRequest | None:
-        """Take a call out, if it waits here."""
+        """Remove and return a call, or return None if it does not wait."""
         return self.requests.pop(identifier, None)
 
     def pop(self) -> queue_orders.SlotRequest | None:
-        """Take out the next call, if there is one."""
+        """Remove and return the next call, or None if there is none."""
         while self._heap:
             identifier = heapq.heappop(self._heap)[-1]
             request = self.requests.pop(identifier, None)
@@ -47,7 +50,13 @@
         return None
 
     def shed_candidates(self, count: int) -> list[queue_orders.SlotRequest]:
-        """Return calls to give up: of new programs, then the last ones."""
+        """Return the calls to shed when the queue is too long.
+
+        Calls of new programs come first, then those that would be served
+        last.
+
+        :param count: the maximum number of calls.
+        """
         return heapq.nlargest(
             count,
             self.requests.values(),
--- a/src/carobfork/coordination/rings.py
+++ b/src/carobfork/coordination/rings.py
@@ -1,4 +1,7 @@
-"""Rings: hosts ordered by a hash of their names, each watched by the next."""
+"""Order hosts on a ring by a hash of their names.
+
+Each host is monitored by the ``SUCCESSOR_COUNT`` hosts that follow it.
+"""
 
 import functools
 from collections.abc import Iterable
@@ -13,14 +16,22 @@
 def successors(
     hosts: Iterable[routing.EntryHost], name: str
 ) -> list[routing.EntryHost]:
-    """Return the hosts that follow a name on the ring, nearest first."""
+    """Return the hosts that follow a host on the ring, nearest first.
+
+    :param hosts: all hosts.
+    :param name: the host's name.
+    """
     return _hosts_after(name, sorted(hosts, key=_position))[:SUCCESSOR_COUNT]
 
 
 def predecessors(
     hosts: Iterable[routing.EntryHost], name: str
 ) -> list[routing.EntryHost]:
-    """Return the hosts that have a name among their successors."""
+    """Return the hosts that have a host among their successors.
+
+    :param hosts: all hosts.
+    :param name: the host's name.
+    """
     return _hosts_after(name, sorted(hosts, key=_position))[-SUCCESSOR_COUNT:]
 
 
--- a/src/carobfork/coordination/slot_clients.py
+++ b/src/carobfork/coordination/slot_clients.py
@@ -1,4 +1,4 @@
-"""Peer slots: get slots from the hosts that are responsible for pools."""
+"""Request slots on workers (backend servers) from the pools' hosts."""
 
 import contextlib
 import itertools
@@ -30,11 +30,11 @@
 
 
 class SlotClient:
-    """Get slots from the hosts that are responsible for the pools.
+    """Client of the hosts that serve the pools.
 
-    :param mailbox: carries the messages.
-    :param routes: which host serves which pool.
-    :param timer: measures waiting.
+    :param mailbox: receives and sends the slot messages.
+    :param routes: the hosts that serve the pools.
+    :param timer: the clock for waits and slots.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         routes: pool_routes.PoolRoutes,
         timer: clock.Clock,
     ) -> None:
-        """Start without claims; a bundle brings the pools."""
+        """Create a client without calls; a bundle defines the pools."""
         self._claims = claims.ClaimTable(timer)
         self._waits = pool_waits.WaitTable(timer)
         self._mailbox = mailbox
@@ -55,7 +55,7 @@
         mailbox.on(slot_messages.SlotsSeen, self._handle_summary_answer)
 
     def apply_bundle(self, bundle: bundles.Bundle) -> None:
-        """Use a bundle's pools; calls for a pool that is gone fail."""
+        """Apply a bundle's pools; calls that wait at removed pools fail."""
         self._pools = pools.split_bundle(bundle)
         self._routes.apply(self._pools)
         for name in self._claims.pools() - set(self._pools):
@@ -68,10 +68,12 @@
     def acquire(
         self, request: queue_orders.SlotRequest
     ) -> Iterator[slots.Slot]:
-        """Wait for a slot and hold it.
+        """Wait for a slot and hold it while the context is open.
 
-        :raises OverloadedError: no slot can be had in time.
-        :raises NotRunError: no worker serves the model.
+        :param request: the call.
+        :raises OverloadedError: if the call is refused or gets no slot
+            within ``SLOT_TIMEOUT_MS``.
+        :raises NotRunError: if no worker serves the model.
         """
         claim = claims.Claim(
             request, self._choose_pool(request).name, self._timer.now_ms()
@@ -97,7 +99,9 @@
     def check_new_program(self, rank: int, queue_limit_ms: int) -> None:
         """Check that a new program of a rank may be opened.
 
-        :raises OverloadedError: its first call would be refused.
+        :param rank: the rank's position.
+        :param queue_limit_ms: the rank's longest expected wait.
+        :raises OverloadedError: if its first call would be refused.
         """
         limit_ms = queue_limit_ms * admissions.NEW_PROGRAM_LIMIT_RATIO
         waits_ms = [self._waits.get_ms(pool, rank) for pool in self._pools]
@@ -105,13 +109,13 @@
             raise backlogs.overloaded_error('program', min(waits_ms))
 
     def run(self) -> None:
-        """Compare open calls with the pools' hosts until killed."""
+        """Send summaries to the pools' hosts periodically until killed."""
         while True:
             gevent.sleep(clock.to_seconds(SUMMARY_INTERVAL_MS))
             self.tick()
 
     def tick(self) -> None:
-        """Sum up the open calls for each pool's host."""
+        """Send each pool's host a summary of the calls open at the pool."""
         self.reroute()
         for suspect in list(self._routes.suspects):
             self._probe(suspect)
@@ -124,7 +128,10 @@
                 )
 
     def reroute(self, *changes) -> None:
-        """Move the open calls of pools that another host serves now."""
+        """Send the open calls of moved pools to the new hosts.
+
+        The former hosts get an empty list, so that they release the calls.
+        """
         for move in self._routes.refresh():
             logger.info('A pool moved.', pool=move.pool, peer=str(move.current))
             empty_listing = slot_messages.SlotsListed(
@@ -204,7 +211,7 @@
             self._mailbox.send(message.sender, listing)
 
     def _find_claim(self, message) -> claims.Claim | None:
-        """Return a message's call if its sender is the one that serves it."""
+        """Return a message's claim, or None if its sender is not in charge."""
         if self._routes.find(message.pool) != message.sender:
             return None
         return self._claims.find(message.identifier)
@@ -214,7 +221,7 @@
         return any(worker.name == message.worker for worker in workers)
 
     def _probe(self, suspect: identifiers.Incarnation) -> None:
-        """Ask a suspect about any pool; an answer clears it."""
+        """Send a summary to a suspected host; any answer ends suspicion."""
         for pool in itertools.islice(self._pools, 1):
             message = slot_messages.SlotsOpen(self._mailbox.own, pool, 0, 0)
             self._mailbox.send(suspect, message)
@@ -222,5 +229,5 @@
 
 def _no_worker_error(model: str) -> exceptions.NotRunError:
     return exceptions.NotRunError(
-        'no worker serves the model', step='find pool', peer=model
+        f'no worker serves model "{model}"', step='find pool', peer=model
     )
--- a/src/carobfork/coordination/slot_messages.py
+++ b/src/carobfork/coordination/slot_messages.py
@@ -1,7 +1,9 @@
-"""Slot messages: what a program's home and a pool's host tell each other.
+"""Define the messages by which hosts request and grant slots.
 
-All are one-way and may get lost. A holder sums up its open calls at every
-tick; where the pool's host sums up otherwise, the holder lists them whole.
+A holder is the host that owns a call's program; the pool's host grants slots
+on the pool's workers, its backend servers. All messages are one-way and may
+get lost. A holder therefore sends a summary of its open calls at every tick.
+If the pool's host computes another summary, the holder sends its full list.
 """
 
 import zlib
@@ -18,7 +20,12 @@
 @messages.register
 @attrs.frozen
 class SlotsAsked:
-    """Calls of one holder want slots of a pool."""
+    """Requests slots of a pool for calls of one holder.
+
+    :param sender: the holder.
+    :param pool: the pool's name.
+    :param requests: the calls.
+    """
 
     sender: identifiers.Incarnation
     pool: str
@@ -28,7 +35,13 @@
 @messages.register
 @attrs.frozen
 class SlotGranted:
-    """A call has a slot on a worker."""
+    """Grants a call a slot on a worker.
+
+    :param sender: the pool's host.
+    :param pool: the pool's name.
+    :param identifier: the call's identifier.
+    :param worker: the worker's name.
+    """
 
     sender: identifiers.Incarnation
     pool: str
@@ -39,7 +52,13 @@
 @messages.register
 @attrs.frozen
 class SlotRefused:
-    """A call gets no slot; it would wait too long."""
+    """Refuses a call that would wait too long for a slot.
+
+    :param sender: the pool's host.
+    :param pool: the pool's name.
+    :param identifier: the call's identifier.
+    :param wait_ms: the expected wait.
+    """
 
     sender: identifiers.Incarnation
     pool: str
@@ -50,7 +69,13 @@
 @messages.register
 @attrs.frozen
 class SlotReleased:
-    """A call has ended, whether it had a slot or not."""
+    """Ends a call, whether it had a slot or not.
+
+    :param sender: the holder.
+    :param pool: the pool's name.
+    :param identifier: the call's identifier.
+    :param served: measurements of the call, if a worker ran it.
+    """
 
     sender: identifiers.Incarnation
     pool: str
@@ -61,7 +86,13 @@
 @messages.register
 @attrs.frozen
 class SlotsOpen:
-    """Sums up the calls that a holder has open at a pool."""
+    """Summary of the calls that a holder has open at a pool.
+
+    :param sender: the holder.
+    :param pool: the pool's name.
+    :param open_digest: digest of the calls that wait or hold a slot.
+    :param held_digest: digest of the calls that hold a slot.
+    """
 
     sender: identifiers.Incarnation
     pool: str
@@ -72,7 +103,13 @@
 @messages.register
 @attrs.frozen
 class SlotsSeen:
-    """Answers a summary: whether it matches, and the waits by rank."""
+    """Answer to a summary.
+
+    :param sender: the pool's host.
+    :param pool: the pool's name.
+    :param matches: whether the pool's host knows the same calls.
+    :param waits_ms: expected waits by rank, most urgent rank first.
+    """
 
     sender: identifiers.Incarnation
     pool: str
@@ -82,7 +119,11 @@
 
 @attrs.frozen
 class Holding:
-    """A call with its slot."""
+    """A call that holds a slot.
+
+    :param request: the call.
+    :param worker: the name of the slot's worker.
+    """
 
     request: queue_orders.SlotRequest
     worker: str
@@ -91,7 +132,13 @@
 @messages.register
 @attrs.frozen
 class SlotsListed:
-    """All calls that a holder has open at a pool."""
+    """Full list of the calls that a holder has open at a pool.
+
+    :param sender: the holder.
+    :param pool: the pool's name.
+    :param waiting: the calls that wait for a slot.
+    :param held: the calls that hold a slot.
+    """
 
     sender: identifiers.Incarnation
     pool: str
@@ -100,7 +147,11 @@
 
 
 def calls_digest(call_ids: Iterable[str]) -> int:
-    """Return a number that stands for a set of calls, in any order."""
+    """Return a digest of a set of calls that does not depend on their order.
+
+    The lower 32 bits combine the identifiers' checksums, the upper ones hold
+    the number of calls.
+    """
     combined = 0
     count = 0
     for identifier in call_ids:
--- a/src/carobfork/coordination/slots.py
+++ b/src/carobfork/coordination/slots.py
@@ -1,4 +1,4 @@
-"""Slots: permission to use a worker, held for as long as a stream runs."""
+"""Measure calls that hold a slot on a worker (backend server)."""
 
 import contextlib
 from typing import Protocol
@@ -8,14 +8,14 @@
 
 
 class Slot:
-    """A slot on a worker, and what its holder sees of the stream.
+    """A slot that is held while a call's stream runs, with its measurements.
 
     :param worker: the worker's name.
-    :param timer: measures the stream.
+    :param timer: the clock for the measurements.
     """
 
     def __init__(self, worker: str, timer: clock.Clock) -> None:
-        """Start at the grant."""
+        """Create a slot that is granted now."""
         self.worker = worker
         self._timer = timer
         self._granted_ms = timer.now_ms()
@@ -25,20 +25,21 @@
         self._prefilled_tokens = 0
 
     def record_output(self) -> None:
-        """Note that events of the stream came."""
+        """Record that output of the stream arrived."""
         self._last_output_ms = self._timer.now_ms()
         self._first_output_ms = self._first_output_ms or self._last_output_ms
 
     def record_usage(self, output_tokens: int, prefilled_tokens: int) -> None:
-        """Note what the engine computed.
+        """Record the tokens that the engine computed.
 
+        :param output_tokens: tokens that were generated.
         :param prefilled_tokens: prompt tokens that were not cached.
         """
         self._output_tokens = output_tokens
         self._prefilled_tokens = prefilled_tokens
 
     def report(self) -> slot_limiters.CallReport:
-        """Return what to report on release."""
+        """Return the measurements to send when the slot is released."""
         steps = self._output_tokens - 1
         between_ms = (
             (self._last_output_ms - self._first_output_ms) / steps
@@ -60,18 +61,21 @@
 
 
 class SlotBroker(Protocol):
-    """Where calls get their slots from."""
+    """Interface through which calls get slots."""
 
     def acquire(
         self, request: queue_orders.SlotRequest
     ) -> contextlib.AbstractContextManager[Slot]:
-        """Wait for a slot and hold it.
+        """Wait for a slot and hold it while the context is open.
 
-        :raises OverloadedError: no slot can be had in time.
+        :param request: the call.
+        :raises OverloadedError: if no slot is available in time.
         """
 
     def check_new_program(self, rank: int, queue_limit_ms: int) -> None:
         """Check that a new program of a rank may be opened.
 
-        :raises OverloadedError: its first call would be refused.
+        :param rank: the rank's position.
+        :param queue_limit_ms: the rank's longest expected wait.
+        :raises OverloadedError: if its first call would be refused.
         """
--- a/src/carobfork/coordination/worker_tables.py
+++ b/src/carobfork/coordination/worker_tables.py
@@ -1,4 +1,4 @@
-"""Worker tables: the workers of a pool as its dispatcher sees them."""
+"""Hold the loads of a pool's workers (backend servers) for its dispatcher."""
 
 from collections.abc import Iterable, Mapping
 
@@ -8,13 +8,13 @@
 
 
 class WorkerTable:
-    """Hold the loads of a pool's workers through changes of bundle.
+    """Loads of a pool's workers, kept across changes of the bundle.
 
-    :param timer: measures pauses after failures.
+    :param timer: the clock for the delays after failures.
     """
 
     def __init__(self, timer: clock.Clock) -> None:
-        """Start without workers."""
+        """Create an empty table."""
         self._timer = timer
         self.loads: dict[str, placements.WorkerLoad] = {}
         self._leaving: frozenset[str] = frozenset()
@@ -22,7 +22,7 @@
 
     @property
     def slot_interval_ms(self) -> float:
-        """Mean time between two slots that come free, 0 where unknown."""
+        """Mean time between two released slots of the pool, 0 if unknown."""
         loads = [load for load in self.loads.values() if not load.leaving]
         slots = sum(load.slot_limit for load in loads)
         holds_ms = [load.hold_ms for load in loads if load.hold_ms]
@@ -31,7 +31,7 @@
         return sum(holds_ms) / len(holds_ms) / slots
 
     def available(self) -> list[placements.WorkerLoad]:
-        """Return the workers with free slots."""
+        """Return the workers on which a slot may be granted now."""
         now_ms = self._timer.now_ms()
         return [
             load for load in self.loads.values() if load.is_available(now_ms)
@@ -43,9 +43,14 @@
         policy: bundles.Policy,
         busy: Mapping[str, int],
     ) -> None:
-        """Take over a bundle's workers; those known keep what was learnt.
+        """Apply a bundle's workers.
 
-        :param busy: slots held, by worker.
+        Known workers keep their learned limits and averages, unless the
+        bundle changes the limiter or its target.
+
+        :param pool: the pool with the workers.
+        :param policy: the bundle's policies.
+        :param busy: number of held slots by worker.
         """
         known = self.loads if self._has_same_limiter(policy) else {}
         self._policy = policy
@@ -58,26 +63,30 @@
         self.mark_leaving(self._leaving)
 
     def mark_leaving(self, names: Iterable[str]) -> None:
-        """Grant no more slots on these workers, and again on others."""
+        """Stop granting slots on these workers and resume on all others."""
         self._leaving = frozenset(names)
         for load in self.loads.values():
             load.leaving = load.name in self._leaving
 
     def adopt_slot(self, name: str) -> None:
-        """Count a slot that another dispatcher had granted."""
+        """Count a slot that another dispatcher granted."""
         load = self.loads.get(name)
         if load is not None:
             load.adopt_slot()
 
     def busy(self, name: str) -> int:
-        """Return how many of a worker's slots are held."""
+        """Return the number of held slots of a worker, 0 if it is unknown."""
         load = self.loads.get(name)
         return 0 if load is None else load.busy
 
     def release(
         self, name: str, report: slot_limiters.CallReport | None
     ) -> None:
-        """Free a slot and learn from it."""
+        """Release a slot and update the worker's load.
+
+        :param name: the worker's name; unknown workers are ignored.
+        :param report: measurements of the call, if the worker ran it.
+        """
         load = self.loads.get(name)
         if load is None:
             return
--- a/src/carobfork/state/__init__.py
+++ b/src/carobfork/state/__init__.py
@@ -1,1 +1,1 @@
-"""State: programs, records, budgets and bundles, without any I/O."""
+"""Programs, records, budgets and bundles, without any I/O."""
--- a/src/carobfork/state/budgets.py
+++ b/src/carobfork/state/budgets.py
@@ -1,8 +1,8 @@
-"""Budgets: reserved before a call is sent, settled after it.
+"""Account for programs' budgets: reserve before a call, settle after it.
 
-Reservations carry identifiers, so that applying a record twice, or live and
-after a takeover, changes nothing. A call whose outcome was never recorded
-stays reserved at its upper bound.
+Reservations have identifiers, so that applying a record twice, or once live
+and again after a takeover, does not change the result. A call to a backend
+server whose outcome was never recorded stays reserved at its upper bound.
 """
 
 import attrs
@@ -19,18 +19,18 @@
 
 
 def attempt_reservation_id(key: str, attempt: int) -> str:
-    """Return the identifier of a model call's reservation."""
+    """Return the identifier of the reservation of a model call's attempt."""
     return f'attempt\n{attempt}\n{key}'
 
 
 def share_reservation_id(program: str) -> str:
-    """Return the identifier of a sub-agent's share."""
+    """Return the identifier of a sub-agent's reservation at its parent."""
     return f'program\n{program}'
 
 
 @attrs.frozen
 class Reservation:
-    """The most that a call, or a sub-agent, may take."""
+    """Upper bound of what a call or a sub-agent may spend."""
 
     tokens: int
     calls: int = 1
@@ -38,10 +38,17 @@
 
 @attrs.define
 class Ledger:
-    """What a program may spend, has spent and has reserved.
+    """Limits, spending and reservations of a program.
 
-    Tokens count prompts and answers. Calls count each call once. Time
-    counts from the program's opening, and is told by its home.
+    Tokens include prompts and answers. Each call is counted once, whatever
+    the number of its attempts. Time counts from the program's opening and is
+    supplied by the program's owner.
+
+    :param limit: the program's budget.
+    :param spent_tokens: tokens that were spent.
+    :param spent_calls: calls that were spent.
+    :param spent_time_ms: the program's age.
+    :param reservations: open reservations by identifier.
     """
 
     limit: bundles.Budget
@@ -52,33 +59,35 @@
 
     @property
     def reserved_tokens(self) -> int:
-        """Tokens reserved and not settled."""
+        """Tokens of open reservations."""
         return sum(held.tokens for held in self.reservations.values())
 
     @property
     def reserved_calls(self) -> int:
-        """Calls reserved and not settled."""
+        """Calls of open reservations."""
         return sum(held.calls for held in self.reservations.values())
 
     @property
     def free_tokens(self) -> int:
-        """Tokens neither spent nor reserved."""
+        """Tokens that are neither spent nor reserved."""
         return self.limit.tokens - self.spent_tokens - self.reserved_tokens
 
     @property
     def free_calls(self) -> int:
-        """Calls neither spent nor reserved."""
+        """Calls that are neither spent nor reserved."""
         return self.limit.calls - self.spent_calls - self.reserved_calls
 
     @property
     def free_time_ms(self) -> int:
-        """Time left."""
+        """Time that is left."""
         return self.limit.time_ms - self.spent_time_ms
 
     def reserve(self, identifier: str, reservation: Reservation) -> None:
-        """Reserve the most that a call can take.
+        """Reserve the upper bound of what a call may spend.
 
-        :raises BudgetExceededError: the budget does not cover it.
+        :param identifier: the reservation's identifier.
+        :param reservation: the upper bound.
+        :raises BudgetExceededError: if the budget does not cover it.
         """
         self._check_available(reservation.calls, self.free_calls, 'calls')
         self._check_available(reservation.tokens, self.free_tokens, 'tokens')
@@ -86,15 +95,20 @@
         self.reservations[identifier] = reservation
 
     def restore(self, identifier: str, reservation: Reservation) -> None:
-        """Hold a recorded reservation."""
+        """Restore a reservation from a record, without checking limits."""
         self.reservations[identifier] = reservation
 
     def release(self, identifier: str) -> None:
-        """Give a reservation back, if it is still held."""
+        """Remove a reservation, if it is still open."""
         self.reservations.pop(identifier, None)
 
     def settle(self, identifier: str, tokens: int, calls: int = 1) -> None:
-        """Replace a reservation by what was spent."""
+        """Replace a reservation by what was spent.
+
+        :param identifier: the reservation's identifier.
+        :param tokens: tokens that were spent.
+        :param calls: calls that were spent.
+        """
         self.release(identifier)
         self.spent_calls += calls
         self.spent_tokens += tokens
@@ -102,5 +116,6 @@
     def _check_available(self, asked: int, free: int, unit: str) -> None:
         if asked > free:
             raise exceptions.BudgetExceededError(
-                f'{asked} {unit} asked, {max(free, 0)} {unit} left', step=_STEP
+                f'{asked} {unit} requested, {max(free, 0)} {unit} left',
+                step=_STEP,
             )
--- a/src/carobfork/state/bundles.py
+++ b/src/carobfork/state/bundles.py
@@ -1,6 +1,7 @@
-"""Bundles: which programs run where, under which ranks and budgets.
+"""Define bundles, the signed configuration of programs and backend servers.
 
-A bundle is one versioned unit. Its classes mirror the file's structure.
+A bundle is versioned as a whole. The classes have the structure of the
+bundle file.
 """
 
 from collections.abc import Iterable
@@ -19,7 +20,7 @@
 
 @attrs.frozen
 class Address:
-    """An IP number and a TCP port."""
+    """An IP address and a TCP port."""
 
     ip: str = attrs.field(validator=validators.ip_address)
     port: int = attrs.field(validator=validators.port)
@@ -31,11 +32,11 @@
 
 @attrs.frozen
 class Rank:
-    """A class of service; ranks are listed most urgent first."""
+    """A priority class; a bundle lists the most urgent rank first."""
 
     name: str = attrs.field(validator=validators.name)
     share: float = attrs.field(validator=validators.between(0, 1))
-    """Part of the capacity kept for this rank under any flood, 0 to 1."""
+    """Fraction of the capacity guaranteed under any load, 0 to 1."""
     queue_limit_ms: int = attrs.field(
         default=DEFAULT_QUEUE_LIMIT_MS, validator=validators.at_least(0)
     )
@@ -43,13 +44,18 @@
     between_tokens_ms: int = attrs.field(
         default=0, validator=validators.at_least(0)
     )
-    """Mean time between tokens to keep while calls of this rank run on an
-    engine, by keeping its batch short; 0 where the rank does not ask."""
+    """Target for the mean time between tokens on engines that run calls of
+    this rank, met by keeping their batches small; 0 for no target."""
 
 
 @attrs.frozen
 class Budget:
-    """Upper bounds for one program and all of its sub-agents."""
+    """Limits of one program, its sub-agents included.
+
+    :param tokens: tokens of prompts and answers.
+    :param calls: number of calls.
+    :param time_ms: time since the program was opened.
+    """
 
     tokens: int = attrs.field(validator=validators.at_least(1))
     calls: int = attrs.field(validator=validators.at_least(1))
@@ -58,28 +64,33 @@
 
 @attrs.frozen
 class ProgramKind:
-    """A kind of program that callers may open."""
+    """A kind of program that callers may open.
+
+    :param name: the kind's name.
+    :param rank: the name of its programs' rank.
+    :param budget: the limits of each program.
+    """
 
     name: str = attrs.field(validator=validators.name)
     rank: str
     budget: Budget
     idle_limit_ms: int = DEFAULT_IDLE_LIMIT_MS
-    """Longest silence of a program's caller before the program is ended."""
+    """Longest time without a request before a program is ended."""
 
 
 @attrs.frozen
 class Worker:
-    """One model engine."""
+    """A backend server that runs a model engine."""
 
     name: str = attrs.field(validator=validators.name)
     address: Address
     fencing: bool = True
-    """Whether the engine refuses orders with an old fencing number."""
+    """Whether the engine refuses commands with an old fencing number."""
 
 
 @attrs.frozen
 class Model:
-    """A model and the engines that serve it."""
+    """A model and the workers that serve it."""
 
     name: str = attrs.field(validator=validators.name)
     workers: tuple[Worker, ...]
@@ -87,7 +98,14 @@
 
 @attrs.frozen
 class Operation:
-    """One kind of call to a plain service."""
+    """An operation of a plain service.
+
+    :param name: the operation's name.
+    :param method: its HTTP method.
+    :param path: its HTTP path.
+    :param repeatable: whether calls may safely be repeated.
+    :param timeout_ms: longest time for one call.
+    """
 
     name: str = attrs.field(validator=validators.name)
     method: str
@@ -100,7 +118,7 @@
 
 @attrs.frozen
 class Server:
-    """One host of a plain service."""
+    """A backend server of a plain service."""
 
     name: str = attrs.field(validator=validators.name)
     address: Address
@@ -108,7 +126,7 @@
 
 @attrs.frozen
 class Service:
-    """A plain service, its hosts and its operations."""
+    """A plain service, its backend servers and its operations."""
 
     name: str = attrs.field(validator=validators.name)
     servers: tuple[Server, ...]
@@ -117,19 +135,33 @@
 
 @attrs.frozen
 class Policy:
-    """Names of the registered policies that the bundle chooses."""
+    """Names of the policies in force, and their settings.
+
+    :param order: the queue order.
+    :param placement: the placement policy.
+    :param limit: the slot limiter.
+    :param admission: the admission policy.
+    """
 
     order: str = 'least_attained'
     placement: str = 'affinity_by_cost'
     limit: str = 'aimd'
     admission: str = 'by_program'
     between_tokens_target_ms: int = 45
-    """Longest mean time between tokens that an engine should show."""
+    """Target for an engine's mean time between tokens, an upper bound."""
 
 
 @attrs.frozen
 class Bundle:
-    """Everything that operators sign off and roll as one unit."""
+    """Configuration that operators sign and roll out as a unit.
+
+    :param version: the bundle's version.
+    :param ranks: the ranks, most urgent first.
+    :param programs: the kinds of programs.
+    :param models: the models with their workers.
+    :param services: the plain services.
+    :param policy: the policies in force.
+    """
 
     version: int = attrs.field(validator=validators.at_least(1))
     ranks: tuple[Rank, ...] = attrs.field(validator=validators.not_empty)
@@ -139,7 +171,7 @@
     policy: Policy = attrs.Factory(Policy)
 
     def rank_position(self, name: str) -> int:
-        """Return a rank's place, 0 for the most urgent."""
+        """Return a rank's position, 0 for the most urgent."""
         return [rank.name for rank in self.ranks].index(name)
 
 
@@ -147,9 +179,12 @@
 
 
 def find(named: Iterable[Named], name: str, noun: str) -> Named:
-    """Return the member called ``name``.
+    """Return the member with a name.
 
-    :raises BadRequestError: there is none.
+    :param named: the members.
+    :param name: the name to look for.
+    :param noun: what the members are, for the error message.
+    :raises BadRequestError: if no member has the name.
     """
     for member in named:
         if member.name == name:
--- a/src/carobfork/state/identifiers.py
+++ b/src/carobfork/state/identifiers.py
@@ -1,7 +1,7 @@
-"""Identifiers of incarnations and programs.
+"""Create and parse the identifiers of incarnations and programs.
 
-A program's identifier names the incarnation at which it was opened, so any
-host finds its home without a directory: ``entry-1.4.k3jx...``.
+A program's identifier contains the incarnation that opened it, so any host
+locates the program without a directory: ``entry-1.4.k3jx...``.
 """
 
 import hashlib
@@ -18,7 +18,11 @@
 
 @attrs.frozen(order=True)
 class Incarnation:
-    """One life of an entry host, numbered by the platform."""
+    """One life of an entry host's process.
+
+    :param host: the host's name.
+    :param number: its number, which the platform assigns.
+    """
 
     host: str
     number: int
@@ -31,25 +35,25 @@
     def parse(cls, text: str) -> 'Incarnation':
         """Parse ``host.number``.
 
-        :raises UnknownProgramError: the text has another form.
+        :raises UnknownProgramError: if the text has another form.
         """
         host, _, number = text.rpartition(_SEPARATOR)
         if not host or not number.isdecimal():
             raise exceptions.UnknownProgramError(
-                f'"{text}" does not name an incarnation', step='identify'
+                f'"{text}" is not an incarnation', step='identify'
             )
         return cls(host=host, number=int(number))
 
 
 def new_program_id(home: Incarnation) -> str:
-    """Return a fresh program identifier that names its home."""
+    """Return a new program identifier that contains its home."""
     return f'{home}{_SEPARATOR}{secrets.token_urlsafe(_RANDOM_BYTES)}'
 
 
 def home_of(program_id: str) -> Incarnation:
-    """Return the incarnation at which a program was opened.
+    """Return the incarnation that opened a program.
 
-    :raises UnknownProgramError: the identifier is malformed.
+    :raises UnknownProgramError: if the identifier is malformed.
     """
     home, _, suffix = program_id.rpartition(_SEPARATOR)
     if not suffix:
@@ -60,12 +64,16 @@
 
 
 def new_token() -> str:
-    """Return an unguessable program token."""
+    """Return a random program token that cannot be guessed."""
     return secrets.token_urlsafe(_TOKEN_BYTES)
 
 
 def digest(*parts: bytes) -> str:
-    """Return the SHA-256 of the parts, in hexadecimal."""
+    """Return the SHA-256 of the parts in hexadecimal.
+
+    Each part is preceded by its length, so that the boundaries between parts
+    count.
+    """
     sha = hashlib.sha256()
     for part in parts:
         sha.update(len(part).to_bytes(8, 'big'))
--- a/src/carobfork/state/programs.py
+++ b/src/carobfork/state/programs.py
@@ -1,4 +1,7 @@
-"""Programs: their calls, history and what they have spent."""
+"""Hold programs with their calls, history and spending.
+
+A program's calls run on backend servers, called workers.
+"""
 
 import enum
 import functools
@@ -13,7 +16,7 @@
 
 
 class CallPhase(enum.StrEnum):
-    """How far a call has come."""
+    """Progress of a call."""
 
     intended = 'intended'
     answered = 'answered'
@@ -21,7 +24,15 @@
 
 @attrs.define
 class Call:
-    """One recorded call of a program."""
+    """A recorded call of a program.
+
+    :param key: the call's key, unique within its program.
+    :param digest: digest of the call's content.
+    :param target: the service, or ``service/server`` or ``model/worker`` once
+        it is answered.
+    :param phase: the call's progress.
+    :param answer: the recorded answer, if there is one.
+    """
 
     key: str
     digest: str
@@ -32,7 +43,16 @@
 
 @attrs.define
 class Program:
-    """A program homed at this host."""
+    """A program that this host owns.
+
+    :param identifier: the program's identifier.
+    :param kind: the name of its kind.
+    :param rank: the name of its rank.
+    :param ledger: its budget and spending.
+    :param token_digest: digest of the token that callers present.
+    :param parent: the identifier of its parent, empty for a root program.
+    :param calls: its recorded calls by key.
+    """
 
     identifier: str
     kind: str
@@ -42,56 +62,61 @@
     parent: str = ''
     calls: dict[str, Call] = attrs.Factory(dict)
     dispatched: dict[str, spending.CallDispatched] = attrs.Factory(dict)
-    """The last attempt at each model call that is not answered."""
+    """The last attempt at each model call that has no answer yet."""
     workers: set[str] = attrs.Factory(set)
-    """Model engines that may hold cache of this program, ``model/worker``."""
+    """Workers that may have cache of this program, ``model/worker``."""
     children: list[str] = attrs.Factory(list)
     """Identifiers of the program's sub-agents."""
     closed_reason: str = ''
     ending_reason: str = ''
-    """Why its home is about to record its end; not itself recorded."""
+    """Why its owner is about to record its end; not itself recorded."""
     recorded_time_ms: int = 0
-    """The age that the journal holds; a successor goes on from it."""
+    """The age in the journal, from which a successor continues."""
     idle_ms: float = 0
-    """For how long neither it nor a sub-agent was asked for anything."""
+    """Time since the last request for it or one of its sub-agents."""
 
     @property
     def is_open(self) -> bool:
-        """Whether the program takes calls."""
+        """Whether the program accepts calls."""
         return not self.closed_reason
 
     def is_dispatched(self, record: spending.CallDispatched) -> bool:
-        """Tell whether an attempt is the last one at its call, or reserves."""
+        """Return whether an attempt is still needed to rebuild the program.
+
+        It is if its reservation is open, or if it is the last attempt at its
+        call.
+        """
         if record.reservation_id in self.ledger.reservations:
             return True
         return self.dispatched.get(record.key) == record
 
     def history(self) -> list[records.AnswerRecorded]:
-        """Return the model calls' answers in the order they were made."""
+        """Return the answers of the model calls in the order of the calls."""
         answers = (call.answer for call in self.calls.values())
         return [answer for answer in answers if answer and answer.messages]
 
 
 class ProgramTable:
-    """The programs of one journal, rebuilt by applying its records."""
+    """Programs of a journal, rebuilt by applying its records in order."""
 
     def __init__(self) -> None:
-        """Start without programs."""
+        """Create an empty table."""
         self.programs: dict[str, Program] = {}
 
     def find(self, identifier: str) -> Program:
         """Return a program.
 
-        :raises UnknownProgramError: it is not in the table.
+        :raises UnknownProgramError: if it is not in the table.
         """
         if identifier not in self.programs:
             raise exceptions.UnknownProgramError(
-                f'program "{identifier}" is not known here', step='look up'
+                f'program "{identifier}" is not known to this host',
+                step='look up',
             )
         return self.programs[identifier]
 
     def subtree(self, identifier: str) -> list[Program]:
-        """Return a program and all of its sub-agents, leaves first."""
+        """Return a program and all of its sub-agents, sub-agents first."""
         root = self.find(identifier)
         descendants = [
             program
@@ -101,18 +126,18 @@
         return [*descendants, root]
 
     def apply_if_known(self, record: records.Record) -> None:
-        """Apply a record unless its program was forgotten meanwhile."""
+        """Apply a record, unless its program is no longer in the table."""
         name = getattr(record, 'program', '')
         opens = isinstance(record, records.ProgramOpened)
         if opens or not name or name in self.programs:
             self.apply(record)
 
     def incarnations(self) -> set[identifiers.Incarnation]:
-        """Return the incarnations at which the programs were opened."""
+        """Return the incarnations that opened the programs."""
         return {identifiers.home_of(name) for name in self.programs}
 
     def is_latest_time(self, record: spending.TimeSpent) -> bool:
-        """Tell whether a record is the last one of any program's time."""
+        """Return whether a record holds the latest age of any program."""
         return any(
             program.recorded_time_ms == record.spent_ms.get(name)
             for name, program in self.programs.items()
@@ -120,7 +145,7 @@
 
     @functools.singledispatchmethod
     def apply(self, record: records.Record) -> None:
-        """Bring the table up to date with one record."""
+        """Update the table with a record; unrelated records are ignored."""
 
     @apply.register
     def _apply_opened(self, record: records.ProgramOpened) -> None:
@@ -208,7 +233,8 @@
         program.closed_reason = record.reason
         parent = self.programs.get(program.parent)
         if parent is not None:
-            # What the sub-agent may still spend was reserved from its share.
+            # The sub-agent's open reservations may still be spent, so they
+            # count as spent at its parent.
             ledger = program.ledger
             parent.ledger.settle(
                 budgets.share_reservation_id(program.identifier),
--- a/src/carobfork/state/records.py
+++ b/src/carobfork/state/records.py
@@ -1,6 +1,7 @@
-"""Records: what a host's journal holds about its programs.
+"""Define the records of a host's journal.
 
-Applying all records of a journal in order rebuilds its programs.
+Applying all records of a journal in order rebuilds its programs, with the
+answers of the backend servers to their calls.
 """
 
 import attrs
@@ -10,7 +11,15 @@
 
 @attrs.frozen
 class ProgramOpened:
-    """A program was opened at this host."""
+    """A program was opened.
+
+    :param program: the program's identifier.
+    :param kind: the name of its kind.
+    :param rank: the name of its rank.
+    :param budget: its limits.
+    :param token_digest: digest of the token that callers present.
+    :param parent: the identifier of its parent, empty for a root program.
+    """
 
     program: str
     kind: str
@@ -22,7 +31,13 @@
 
 @attrs.frozen
 class IntentRecorded:
-    """A call that may not be repeated is about to be sent."""
+    """A call that must not be repeated is about to be sent.
+
+    :param program: the program's identifier.
+    :param key: the call's key.
+    :param digest: digest of the call's content.
+    :param target: the service.
+    """
 
     program: str
     key: str
@@ -32,9 +47,16 @@
 
 @attrs.frozen
 class AnswerRecorded:
-    """A call's outcome is known.
-
-    ``body`` is the service's answer, or the text of a model's answer.
+    """A call was answered.
+
+    :param program: the program's identifier.
+    :param key: the call's key.
+    :param digest: digest of the call's content.
+    :param target: the ``service/server`` or ``model/worker`` that answered.
+    :param status: the answer's HTTP status.
+    :param body: the service's answer, or the text of a model's answer.
+    :param content_type: the media type of the body.
+    :param tokens: tokens that the call spent.
     """
 
     program: str
@@ -56,7 +78,7 @@
 
 @attrs.frozen
 class IntentWithdrawn:
-    """A recorded intent was never sent and never will be."""
+    """A call with a recorded intent was not sent and never will be."""
 
     program: str
     key: str
@@ -64,7 +86,7 @@
 
 @attrs.frozen
 class ProgramClosed:
-    """A program ended and takes no further calls."""
+    """A program ended and accepts no further calls."""
 
     program: str
     reason: str
@@ -72,7 +94,10 @@
 
 @attrs.frozen
 class Sealed:
-    """Another host took the journal's programs over."""
+    """The journal is closed because another host took over its programs.
+
+    :param successor: the incarnation that took over.
+    """
 
     successor: str
 
@@ -81,7 +106,8 @@
 class Adopted:
     """An incarnation's programs belong here if its journal's seal says so.
 
-    ``merged`` tells that its records were copied into this journal.
+    :param incarnation: the former owner.
+    :param merged: whether its records were copied into this journal.
     """
 
     incarnation: identifiers.Incarnation
@@ -90,14 +116,21 @@
 
 @attrs.frozen
 class SegmentStarted:
-    """A segment holds the records up to a number."""
+    """A segment was started.
+
+    :param last_record: number of the last record in the segment.
+    """
 
     last_record: int
 
 
 @attrs.frozen
 class Compacted:
-    """Chunks replace the segments up to a number."""
+    """Segments were replaced by chunks.
+
+    :param last_segment: number of the last segment that was replaced.
+    :param chunks: the keys of the chunks.
+    """
 
     last_segment: int
     chunks: tuple[str, ...]
@@ -109,7 +142,7 @@
 
 
 JOURNAL_RECORDS = (SegmentStarted, Compacted, OwnershipChecked, Sealed)
-"""Records that concern the journal alone and no program."""
+"""Records that concern only the journal, not a program."""
 
 Record = (
     ProgramOpened
--- a/src/carobfork/state/spending.py
+++ b/src/carobfork/state/spending.py
@@ -1,4 +1,4 @@
-"""Spending: records of what programs reserve and spend under way."""
+"""Define the records of what programs reserve and spend."""
 
 import attrs
 
@@ -7,9 +7,17 @@
 
 @attrs.frozen
 class CallDispatched:
-    """A model call is being sent; committed without anyone waiting for it.
+    """A model call is being sent to a backend server.
 
-    It tells a successor where the stream is and what may have been spent.
+    Nothing waits for the commit of this record. It tells a successor where
+    the stream runs and how much may have been spent.
+
+    :param program: the program's identifier.
+    :param key: the call's key.
+    :param digest: digest of the call's content.
+    :param target: the ``model/worker`` that the call is sent to.
+    :param attempt: the number of the attempt at this call.
+    :param reserved_tokens: the most tokens that the attempt may spend.
     """
 
     program: str
@@ -21,7 +29,7 @@
 
     @property
     def worker(self) -> str:
-        """The model engine that was asked."""
+        """The worker that the call is sent to."""
         return self.target.rpartition('/')[-1]
 
     @property
@@ -32,7 +40,13 @@
 
 @attrs.frozen
 class AttemptFailed:
-    """An attempt at a model call brought no answer, but may have cost."""
+    """An attempt at a model call failed, but may have spent tokens.
+
+    :param program: the program's identifier.
+    :param key: the call's key.
+    :param attempt: the number of the attempt.
+    :param tokens: the tokens to count as spent.
+    """
 
     program: str
     key: str
@@ -47,6 +61,9 @@
 
 @attrs.frozen
 class TimeSpent:
-    """How old open programs are, in ms since each was opened."""
+    """Ages of open programs.
+
+    :param spent_ms: milliseconds since a program was opened, by identifier.
+    """
 
     spent_ms: dict[str, int]
--- a/src/carobfork/state/validators.py
+++ b/src/carobfork/state/validators.py
@@ -1,7 +1,7 @@
-"""Limits: validators of the fields of settings and bundles.
+"""Validate the fields of settings and bundles.
 
-Each raises ``ValueError`` with the field's name, its value and what is
-allowed.
+Each validator raises ``ValueError`` with the field's name, its value and the
+values that are allowed.
 """
 
 import ipaddress
@@ -18,7 +18,7 @@
 
 
 def between(lowest: float, highest: float) -> Validator:
-    """Return a validator that accepts numbers in a closed range."""
+    """Return a validator that accepts numbers in a closed interval."""
 
     def validate(_owner, field, number) -> None:  # noqa: WPS430
         if not lowest <= number <= highest:
@@ -28,17 +28,17 @@
 
 
 def at_least(lowest: float) -> Validator:
-    """Return a validator that accepts numbers from a lowest one on."""
+    """Return a validator that accepts numbers with a lower bound."""
 
     def validate(_owner, field, number) -> None:  # noqa: WPS430
         if not number >= lowest:
-            _reject(field, number, f'a number from {lowest} on')
+            _reject(field, number, f'a number of at least {lowest}')
 
     return validate
 
 
 def one_of(choices: Collection[str]) -> Validator:
-    """Return a validator that accepts listed texts only."""
+    """Return a validator that accepts only the given strings."""
 
     def validate(_owner, field, text) -> None:  # noqa: WPS430
         if text not in choices:
@@ -55,21 +55,21 @@
 
 
 def ip_address(_owner, field: attrs.Attribute, text) -> None:
-    """Accept IP numbers, no host names."""
+    """Accept IP addresses, but no host names."""
     try:
         ipaddress.ip_address(text)
     except ValueError:
-        _reject(field, text, 'an IP number such as 10.0.0.7')
+        _reject(field, text, 'an IP address such as 10.0.0.7')
 
 
 def name(_owner, field: attrs.Attribute, text) -> None:
     """Accept names that are safe in identifiers, paths and logs."""
     if not NAME.fullmatch(text):
-        _reject(field, text, 'letters, digits, "_", "-" and blanks, at most 63')
+        _reject(field, text, 'letters, digits, "_", "-" and spaces, at most 63')
 
 
 def not_empty(_owner, field: attrs.Attribute, members) -> None:
-    """Accept texts and lists that are not empty."""
+    """Accept strings and collections that are not empty."""
     if not members:
         _reject(field, members, 'not empty')
 
