--- a/tests/slot_hosts.py
+++ b/tests/slot_hosts.py
@@ -1,4 +1,7 @@
-"""Entry hosts in one process that exchange slot messages on a manual clock."""
+"""Simulate entry hosts that exchange slot messages in one process.
+
+The hosts run on a manual clock.
+"""
 
 import contextlib
 
@@ -59,10 +62,14 @@
 
 
 class Network:
-    """Carry messages between hosts, encoded, unless they are cut off."""
+    """Network that carries encoded messages between hosts.
+
+    Messages of hosts in ``cut`` and of the types in ``lost_kinds`` are
+    dropped.
+    """
 
     def __init__(self, count=3):
-        """Start hosts with a bundle in force."""
+        """Create the hosts; a bundle must be applied to each."""
         self.codec = wire.MessageCodec()
         self.cut = set()
         self.dead = set()
@@ -80,11 +87,11 @@
         ]
 
     def is_leaving(self, entry):
-        """Tell that no host is about to stop."""
+        """Return False, since no host is about to stop."""
         return False
 
     def bury(self, victim):
-        """Let every host know of a death."""
+        """Report a failed host to all hosts."""
         self.dead.add(victim.entry.incarnation)
         for host in self.hosts:
             host.pool_host.release_host(victim.entry)
@@ -102,7 +109,7 @@
         return [host for host in self.hosts if host is not self.server()]
 
     def tick(self, count=1):
-        """Let every host that is not cut off tick."""
+        """Run the ticks of all hosts that are neither cut off nor dead."""
         for _ in range(count):
             for host in self.hosts:
                 if host.entry.incarnation not in self.cut | self.dead:
@@ -111,10 +118,10 @@
 
 
 class Host:
-    """One host's slots; it is its own link to the network."""
+    """An entry host's slot components, linked to the network."""
 
     def __init__(self, network, number):
-        """Wire the parts."""
+        """Create and connect the components."""
         self.network = network
         self.handlers = {}
         own = identifiers.Incarnation(f'entry-{number}', 1)
@@ -133,7 +140,7 @@
         return self.entry.incarnation
 
     def reincarnate(self):
-        """Go on under a new incarnation, as after a takeover."""
+        """Continue as a new incarnation, as after a takeover."""
         own = self.entry.incarnation
         self.entry = attrs.evolve(
             self.entry,
@@ -141,16 +148,16 @@
         )
 
     def apply(self, bundle):
-        """Put a bundle in force."""
+        """Apply a bundle."""
         self.pool_host.apply_bundle(bundle)
         self.broker.apply_bundle(bundle)
 
     def on(self, kind, handler):
-        """Handle a kind of message."""
+        """Register the handler of a message type."""
         self.handlers[kind] = handler
 
     def send(self, peer_address, message):
-        """Pass a message on as another host would decode it."""
+        """Encode a message and pass it to its receiver's handler."""
         network = self.network
         peer = network.hosts[peer_address.port - FIRST_PORT]
         ends = {self.entry.incarnation, peer.entry.incarnation}
@@ -161,14 +168,14 @@
         peer.handlers[type(message)](network.codec.decode(packed))
 
     def hold(self, request):
-        """Ask for a slot in a greenlet and hold it until it is killed."""
+        """Acquire a slot in a greenlet and hold it until that is killed."""
         call = HeldCall(request)
         call.greenlet = gevent.spawn(self._hold, call)
         gevent.sleep(0)
         return call
 
     def slots(self):
-        """Return the calls that hold a slot here, by this host's pools."""
+        """Return the calls that hold a slot of the pools served here."""
         servers = self.pool_host._servers.values()
         return {
             identifier
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,8 @@
-"""Budgets: ledgers rebuilt from records are never overspent."""
+"""Test that ledgers rebuilt from records never allow overspending.
+
+A takeover rebuilds ledgers from the journal. Attempts without an outcome may
+have spent their whole reservation, so they must keep counting.
+"""
 
 import unittest
 
@@ -31,7 +35,7 @@
 
 
 class LedgerRecordsTest(unittest.TestCase):
-    """What records tell of spending."""
+    """Tests of ledgers that are rebuilt from records."""
 
     def setUp(self):
         """Open a program with a sub-agent."""
@@ -46,14 +50,14 @@
             self.table.apply(entry)
 
     def test_share_is_held(self):
-        """A sub-agent's share is not free for its parent."""
+        """A sub-agent's budget is reserved at its parent."""
         self.assertEqual(self.parent.free_tokens, 600)
         self.assertEqual(self.parent.free_calls, 6)
         with self.assertRaises(exceptions.BudgetExceededError):
             self.parent.reserve('x', budgets.Reservation(601))
 
     def test_open_call_counts_in_full(self):
-        """A call without outcome stays reserved, and spent at the end."""
+        """A call without an outcome stays reserved and counts as spent."""
         self.apply(dispatched(CHILD, 'k', 300))
         self.assertEqual(self.child.free_tokens, 100)
         self.apply(records.ProgramClosed(CHILD, 'its host died'))
@@ -69,7 +73,7 @@
         self.assertEqual(self.parent.free_tokens, 880)
 
     def test_lost_attempt_counts_beside_the_next(self):
-        """An attempt that a dead host left open is not given back."""
+        """An attempt that a failed host left open stays reserved."""
         self.apply(
             dispatched(CHILD, 'k', 150),
             dispatched(CHILD, 'k', 150, attempt=2),
@@ -78,7 +82,7 @@
         self.assertEqual(self.child.free_tokens, 400 - 150 - 90)
 
     def test_failed_attempt(self):
-        """A failed attempt costs its tokens but is no call of its own."""
+        """A failed attempt spends its tokens but does not count as a call."""
         self.apply(
             dispatched(CHILD, 'k', 150),
             spending.AttemptFailed(CHILD, 'k', 1, 150),
@@ -89,14 +93,14 @@
         self.assertEqual(self.child.spent_calls, 1)
 
     def test_intent_counts_until_withdrawn(self):
-        """A call that may have run counts; a withdrawn one does not."""
+        """A call that may have run counts, while a withdrawn one does not."""
         self.apply(records.IntentRecorded(CHILD, 'k', '', 'orders'))
         self.assertEqual(self.child.free_calls, 3)
         self.apply(records.IntentWithdrawn(CHILD, 'k'))
         self.assertEqual(self.child.free_calls, 4)
 
     def test_time_never_goes_back(self):
-        """An older record of time changes nothing; spent time refuses."""
+        """Older records of time are ignored, and spent time refuses calls."""
         self.child.spent_time_ms = 5000
         self.apply(spending.TimeSpent({CHILD: 4000}))
         self.assertEqual(self.child.spent_time_ms, 5000)
@@ -104,7 +108,7 @@
             self.child.reserve('x', budgets.Reservation(0))
 
     def test_keys_can_not_take_a_share_over(self):
-        """A call key that looks like a sub-agent leaves the share alone."""
+        """A call key that looks like a share identifier does not replace it."""
         name = budgets.share_reservation_id(CHILD)
         self.apply(records.IntentRecorded(PARENT, name, '', 'orders'))
         self.assertEqual(self.parent.free_tokens, 600)
--- a/tests/test_dispatchers.py
+++ b/tests/test_dispatchers.py
@@ -1,4 +1,9 @@
-"""Dispatchers: floors, admission, placement and ageing on a manual clock."""
+"""Test a dispatcher's policies and the slot limiters on a manual clock.
+
+The tests guard against ranks that starve or exceed their shares, admission
+that cuts off started programs, calls that wait too long for a cached prefix,
+and slot limits that do not follow the engine's latency.
+"""
 
 import unittest
 
@@ -18,14 +23,14 @@
 
 
 class DispatcherTest(unittest.TestCase):
-    """One dispatcher with two workers of four slots."""
+    """Tests of one dispatcher with two workers of four slots each."""
 
     def setUp(self):
-        """Start with the policies that are the default."""
+        """Start a dispatcher with default policies that admits all calls."""
         self.start(admission='all')
 
     def start(self, **policy):
-        """Start a dispatcher."""
+        """Start a dispatcher with the given policies."""
         self.timer = clock.ManualClock()
         self.bundle = slot_hosts.make_bundle(limit='fixed', **policy)
         pool = pools.split_model(self.bundle.models[0])[0]
@@ -41,7 +46,7 @@
             self.submit(f'{rank}-{number}', rank)
 
     def serve(self, rounds):
-        """Serve whole rounds of slots and return the calls by rank."""
+        """Grant and release all slots repeatedly; return calls by rank."""
         served = [0, 0]
         for _ in range(rounds):
             grants = list(iter(self.dispatcher.grant_next, None))
@@ -52,7 +57,7 @@
         return served
 
     def test_floor_in_urgent_flood(self):
-        """Routine work keeps nine tenths of its share at least."""
+        """Routine calls get at least 90 % of their share."""
         self.flood(rank=0)
         self.flood(rank=1)
         urgent, routine = self.serve(rounds=40)
@@ -60,7 +65,7 @@
         self.assertLessEqual(routine, 0.25 * (urgent + routine))
 
     def test_floor_in_routine_flood(self):
-        """A rare urgent call is served next, whatever waits."""
+        """A single urgent call is served before all waiting routine calls."""
         self.flood(rank=1)
         self.serve(rounds=10)
         self.submit('urgent')
@@ -68,7 +73,7 @@
         self.assertEqual(grant.request.identifier, 'urgent')
 
     def test_unused_share_is_not_saved(self):
-        """A rank without waiting calls is owed nothing afterwards."""
+        """A rank accumulates no deficit while it has no waiting calls."""
         self.flood(rank=0)
         self.serve(rounds=20)
         self.flood(rank=1)
@@ -77,7 +82,7 @@
         self.assertLessEqual(len(routine), 2)
 
     def test_charges_are_settled(self):
-        """The floor counts what was served, not what was estimated."""
+        """Shares are of the tokens served, not of the estimates."""
         self.flood(rank=0)
         self.flood(rank=1)
         tokens = [0, 0]
@@ -93,7 +98,10 @@
         self.assertAlmostEqual(tokens[1] / sum(tokens), 0.2, delta=0.05)
 
     def test_short_call_is_settled(self):
-        """A call that served less than estimated costs its rank no more."""
+        """A call is charged what it was served if that is below the estimate.
+
+        Otherwise the urgent rank would pay for tokens that it never got.
+        """
         self.submit('short', rank=0)
         self.flood(rank=1, count=20)
         grant = self.dispatcher.grant_next()
@@ -105,14 +113,14 @@
         self.assertAlmostEqual(owed[1], 10 * 0.2)
 
     def test_least_attained_first(self):
-        """Within a rank the program served least is next."""
+        """Within a rank, the program that was served least is next."""
         self.submit('much', attained_tokens=9000)
         self.submit('little', attained_tokens=10)
         grant = self.dispatcher.grant_next()
         self.assertEqual(grant.request.identifier, 'little')
 
     def test_ageing(self):
-        """A call that has waited long enough passes fresh programs."""
+        """A call that waited long enough is served before new programs."""
         self.submit('much', attained_tokens=9000)
         self.timer.advance(9000 / queue_orders.AGEING_TOKENS_PER_MS + 1)
         self.submit('fresh')
@@ -120,7 +128,7 @@
         self.assertEqual(grant.request.identifier, 'much')
 
     def test_new_programs_are_refused_first(self):
-        """In an overload the programs under way go on."""
+        """Under overload, calls of started programs are still admitted."""
         self.start(admission='by_program')
         self.flood(rank=1, count=8)
         self.serve(rounds=1)
@@ -133,7 +141,7 @@
         self.submit('urgent', rank=0, started=False)
 
     def test_rare_kind_is_refused_later(self):
-        """A flood of one kind leaves room for another."""
+        """A burst of one kind does not shut out other kinds."""
         self.start(admission='by_program')
         self.submit('first', rank=1)
         self.serve(rounds=1)
@@ -144,7 +152,7 @@
         self.submit('answer', rank=1, kind='answer', started=False)
 
     def test_queue_is_shortened(self):
-        """Calls beyond the limit are given up, new programs' first."""
+        """Calls beyond the queue limit are shed, new programs' calls first."""
         self.start(admission='by_program')
         self.flood(rank=1, count=8)
         self.submit('old', rank=1, attained_tokens=10**6)
@@ -157,7 +165,7 @@
         self.assertNotIn('old', {call.identifier for call in given_up})
 
     def test_waits_for_cached_prefix(self):
-        """A call waits for its worker while that is cheaper than a prefill."""
+        """A call waits for its cached prefix if a prefill takes longer."""
         self.start(admission='all', placement='affinity_by_cost')
         self.submit('first', rank=1, last_worker='engine-0')
         self.serve(rounds=1)
@@ -172,7 +180,7 @@
         self.assertEqual(self.dispatcher.grant_next().worker, 'engine-0')
 
     def test_wait_for_prefix_is_bounded(self):
-        """Waiting lasts no longer than the prefill that it saves."""
+        """A call waits no longer for its prefix than a prefill takes."""
         self.start(admission='all', placement='affinity_by_cost')
         for number in range(slot_limiters.INITIAL_SLOT_LIMIT):
             self.submit(f'full-{number}', last_worker='engine-0')
@@ -183,7 +191,10 @@
         self.assertEqual(self.dispatcher.grant_next().worker, 'engine-1')
 
     def test_failing_worker_is_tried_rarely(self):
-        """A worker that fails at once does not attract all calls."""
+        """A worker whose calls fail immediately does not get all calls.
+
+        Its slots are always free, so least-loaded placement would prefer it.
+        """
         self.flood(rank=0)
         failed = slot_limiters.CallReport(failed=True)
         workers = []
@@ -203,14 +214,14 @@
         self.assertEqual(loads['engine-0'].busy, 1)
 
     def test_avoided_worker(self):
-        """A call does not go back to where it failed, or wait for it."""
+        """A retried call neither uses nor waits for the worker it failed on."""
         self.start(admission='all', placement='affinity_by_cost')
         fields = {'last_worker': 'engine-0', 'prompt_tokens': 10**6}
         self.submit('retry', avoided=('engine-0',), **fields)
         self.assertEqual(self.dispatcher.grant_next().worker, 'engine-1')
 
     def test_policies_switch_at_run_time(self):
-        """A new bundle's policies order the calls that wait already."""
+        """A new bundle's policies apply to calls that already wait."""
         self.submit('a', rank=1)
         self.timer.advance(1)
         self.submit('b', rank=0)
@@ -223,10 +234,10 @@
 
 
 class LimitTest(unittest.TestCase):
-    """Slot limits follow an engine whose step grows with its batch."""
+    """Tests of the limiters on an engine whose latency grows with its batch."""
 
     def settle(self, name, target_ms, step_ms):
-        """Return the limit reached after many calls."""
+        """Return a limiter's limit after many calls."""
         limiter = slot_limiters.LIMITERS[name](target_ms)
         for _ in range(3000):
             busy = limiter.limit
@@ -237,24 +248,24 @@
         return limiter.limit
 
     def test_aimd_meets_target(self):
-        """The limit stays where between-token times meet the target."""
+        """The limit converges to where latency meets the target."""
         limit = self.settle('aimd', 20, lambda busy: 4 + busy)
         self.assertIn(limit, range(11, 18))
 
     def test_gradient_stops_at_saturation(self):
-        """The limit stays about where throughput stops to grow."""
+        """The limit converges to about where throughput stops growing."""
         limit = self.settle('gradient', 0, lambda busy: max(4, busy / 4))
         self.assertIn(limit, range(12, 24))
 
     def test_missing_reports(self):
-        """Calls that report nothing change nothing."""
+        """Calls without measurements do not change the limit."""
         for name in slot_limiters.LIMITERS:
             limiter = slot_limiters.LIMITERS[name](20)
             limiter.observe(slot_limiters.CallReport(), 4)
             self.assertEqual(limiter.limit, slot_limiters.INITIAL_SLOT_LIMIT)
 
     def test_idle_engine_keeps_limit(self):
-        """Slots that are not used are no reason for more of them."""
+        """The limit does not grow while slots are unused."""
         limiter = slot_limiters.LIMITERS['aimd'](20)
         for _ in range(100):
             limiter.observe(
--- a/tests/test_isolations.py
+++ b/tests/test_isolations.py
@@ -1,4 +1,9 @@
-"""Isolation: short batches where urgent calls run, on a manual clock."""
+"""Test isolation and latency models on a manual clock.
+
+The tests guard against urgent streams that slow down because routine calls
+fill the batches of their workers, and against isolation that costs routine
+calls their share or keeps workers idle.
+"""
 
 import collections
 import unittest
@@ -22,19 +27,19 @@
 
 
 class WideLimiter(slot_limiters.FixedLimiter):
-    """Grant many slots."""
+    """Limiter with a high fixed limit."""
 
     def __init__(self, target_ms):
-        """Start with the limit that stays."""
+        """Set the limit, which does not change."""
         super().__init__(target_ms)
         self.limit = SLOTS
 
 
 class IsolationTest(unittest.TestCase):
-    """A pool of two workers whose pace is 6 ms and 1 ms a slot."""
+    """Tests with two workers whose tokens take 6 ms plus 1 ms per slot."""
 
     def setUp(self):
-        """Start a dispatcher whose first rank asks for 12 ms."""
+        """Start a dispatcher whose first rank has a target of 12 ms."""
         self.timer = clock.ManualClock()
         wide = mock.patch.dict(slot_limiters.LIMITERS, {'wide': WideLimiter})
         wide.start()
@@ -42,7 +47,7 @@
         self.start(TARGET_MS)
 
     def start(self, between_tokens_ms):
-        """Start a dispatcher that has learnt the workers' pace."""
+        """Start a dispatcher that has learned the workers' latency."""
         bundle = slot_hosts.make_bundle(limit='wide', admission='all')
         urgent, *others = bundle.ranks
         asking = attrs.evolve(urgent, between_tokens_ms=between_tokens_ms)
@@ -59,11 +64,11 @@
         self.dispatcher.submit(slot_hosts.make_request(name, rank))
 
     def grant_all(self):
-        """Grant for as long as there is something to grant."""
+        """Grant slots until no call can get one."""
         return list(iter(self.dispatcher.grant_next, None))
 
     def release(self, grant):
-        """End a call that saw what the engine's pace says."""
+        """End a call and report the latency of the current batch."""
         busy = self.dispatcher.workers.busy(grant.worker)
         self.dispatcher.release(
             grant.request.identifier,
@@ -75,11 +80,11 @@
         )
 
     def batch(self, worker):
-        """Return how many slots of a worker are held."""
+        """Return the number of held slots of a worker."""
         return self.dispatcher.workers.busy(worker)
 
     def test_flood_leaves_batches_short(self):
-        """Routine work fills the worker without urgent calls only."""
+        """Routine calls fill only the worker without urgent calls."""
         for name in ('u1', 'u2', 'u3'):
             self.submit(name, 0)
         urgent = {grant.worker for grant in self.grant_all()}
@@ -92,7 +97,7 @@
         self.assertEqual(len(routine) - routine.count(isolated), SLOTS)
 
     def test_without_a_target_batches_fill(self):
-        """A rank that asks for nothing is not kept apart."""
+        """A rank without a target isolates no workers."""
         self.start(between_tokens_ms=0)
         self.submit('u1', 0)
         for number in range(SLOTS * 3):
@@ -100,7 +105,7 @@
         self.assertEqual(len(self.grant_all()), SLOTS * 2)
 
     def test_urgent_never_waits_for_short_batches(self):
-        """With only long batches, an urgent call takes a free slot."""
+        """An urgent call gets a free slot even if all batches are large."""
         for number in range(SLOTS * 2 - 1):
             self.submit(f'r-{number}', 1)
         self.grant_all()
@@ -108,10 +113,10 @@
         self.assertEqual(len(self.grant_all()), 1)
 
     def test_floor_holds_where_all_are_isolated(self):
-        """Routine work keeps nine tenths of its share at least.
+        """Routine calls get at least 90 % of their share.
 
-        Slots come free one at a time, so batches never get short enough for
-        routine work that is not owed its share.
+        Slots are released one at a time, so batches never get small enough
+        for routine calls unless their rank has a deficit.
         """
         for number in range(1000):
             self.submit(f'u-{number}', 0)
@@ -127,7 +132,7 @@
         self.assertGreaterEqual(served[1], 0.9 * 0.2 * sum(served))
 
     def test_isolation_ends(self):
-        """Some time after the last urgent call, routine work may fill."""
+        """Isolation ends some time after the last urgent call."""
         self.submit('u1', 0)
         self.release(self.grant_all()[0])
         self.timer.advance(10_000)
@@ -137,23 +142,23 @@
 
 
 class PaceTest(unittest.TestCase):
-    """The line that is fitted to what holders report."""
+    """Tests of the line that is fitted to the reported latencies."""
 
     def test_line(self):
-        """Slots are read off the line that reports lie on."""
+        """The limit follows the line on which all reports lie."""
         pace = latency_models.LatencyModel()
         for busy in (2, 10, 20):
             pace.observe(busy, STEP_MS + busy)
         self.assertEqual(pace.max_slots(TARGET_MS), SHORT)
 
     def test_one_batch_size(self):
-        """Without spread, time is taken as proportional to the slots."""
+        """With a single batch size, latency is proportional to the slots."""
         pace = latency_models.LatencyModel()
         pace.observe(10, 20)
         self.assertEqual(pace.max_slots(10), 5)
 
     def test_at_least_one(self):
-        """A target below any batch's time still leaves one slot."""
+        """A target that no batch can meet still allows one slot."""
         pace = latency_models.LatencyModel()
         pace.observe(10, 20)
         self.assertEqual(pace.max_slots(1), 1)
--- a/tests/test_prefixes.py
+++ b/tests/test_prefixes.py
@@ -1,4 +1,8 @@
-"""Prefixes: sub-agents start where their parent's prefix is."""
+"""Test where a program's prefix is expected to be cached.
+
+The tests guard against sub-agents that start on a worker without their
+parent's prefix, which costs a full prefill.
+"""
 
 import unittest
 
@@ -7,10 +11,10 @@
 
 
 class PrefixTest(unittest.TestCase):
-    """A parent that was served and its sub-agent."""
+    """Tests of a parent that was served and its sub-agent."""
 
     def setUp(self):
-        """Open both; the parent has one answer."""
+        """Open both programs and record one answer of the parent."""
         self.table = programs.ProgramTable()
         for name, parent in (('a.1.parent', ''), ('a.1.child', 'a.1.parent')):
             self.table.apply(
@@ -41,14 +45,14 @@
         )
 
     def find(self, name):
-        """Return where a program's prefix is."""
+        """Return the worker that is expected to have a program's prefix."""
         return prefixes.last_worker(self.table, self.table.find(name))
 
     def test_sub_agent_starts_at_its_parent(self):
-        """A sub-agent without history goes where its parent was."""
+        """A sub-agent without history uses its parent's last worker."""
         self.assertEqual(self.find('a.1.child'), 'engine-2')
 
     def test_own_history_goes_first(self):
-        """A sub-agent that was served goes back there."""
+        """A sub-agent that was served uses its own last worker."""
         self.answer('a.1.child', 'engine-1')
         self.assertEqual(self.find('a.1.child'), 'engine-1')
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,9 @@
-"""Slots across hosts: order, lost messages, deaths, freezes and bundles."""
+"""Test slots across hosts: order, lost messages, failures and new bundles.
+
+The tests guard against slots that leak or are granted twice when messages
+get lost, when holders or the pool's host fail or pause, and when a bundle
+changes the workers.
+"""
 
 import unittest
 
@@ -12,10 +17,10 @@
 
 
 class SlotsTest(unittest.TestCase):
-    """Every test drives three hosts on a manual clock."""
+    """Tests of three hosts on a manual clock."""
 
     def setUp(self):
-        """Start three hosts with two workers."""
+        """Start three hosts that share two workers."""
         self.network = slot_hosts.Network()
         self.roll()
         self.held = []
@@ -25,22 +30,22 @@
         gevent.killall([call.greenlet for call in self.held])
 
     def roll(self, **bundle):
-        """Put a bundle in force everywhere."""
+        """Apply a bundle on all hosts."""
         for host in self.network.hosts:
             host.apply(slot_hosts.make_bundle(limit='fixed', **bundle))
 
     def hold(self, host, name, **fields):
-        """Let a host hold a call."""
+        """Start a call on a host that holds its slot until it is ended."""
         call = host.hold(slot_hosts.make_request(name, **fields))
         self.held.append(call)
         return call
 
     def fill(self, host):
-        """Hold all slots by one host's calls."""
+        """Let one host's calls hold all slots."""
         return [self.hold(host, f'full-{name}') for name in range(SLOTS)]
 
     def test_order_across_hosts(self):
-        """An urgent call passes routine ones that wait at other hosts."""
+        """An urgent call is served before another host's routine calls."""
         first, second = self.network.others()
         full = self.fill(first)
         routine = self.hold(first, 'routine', rank=1)
@@ -50,14 +55,14 @@
         self.assertFalse(routine.worker)
 
     def test_late_binding(self):
-        """A waiting call gets whichever worker comes free."""
+        """A waiting call gets the first worker with a free slot."""
         full = self.fill(self.network.hosts[0])
         waiting = self.hold(self.network.hosts[1], 'waiting')
         full[-1].end()
         self.assertEqual(waiting.worker, full[-1].worker)
 
     def test_lost_ask(self):
-        """An ask that got lost is found by the holder's summary."""
+        """A lost request for a slot is detected by the holder's summary."""
         self.network.lost_kinds = (slot_messages.SlotsAsked,)
         call = self.hold(self.network.others()[0], 'a')
         self.assertFalse(call.worker)
@@ -66,7 +71,7 @@
         self.assertTrue(call.worker)
 
     def test_lost_grant(self):
-        """A grant that got lost is told again."""
+        """A lost grant is sent again."""
         self.network.lost_kinds = (slot_messages.SlotGranted,)
         call = self.hold(self.network.others()[0], 'a')
         self.network.lost_kinds = ()
@@ -79,7 +84,7 @@
         self.assertEqual(self.network.server().slots(), {'a'})
 
     def test_grant_on_its_way(self):
-        """A summary that crosses a grant brings no whole list."""
+        """A summary sent while a grant is in transit causes no full list."""
         holder = self.network.others()[0]
         self.hold(holder, 'a')
         server = self.network.server().entry
@@ -94,7 +99,7 @@
         self.assertEqual(len(self.network.sent), 2)
 
     def test_lost_release(self):
-        """A slot whose release got lost is freed by the summary."""
+        """A slot whose release got lost is released after the summary."""
         holder = self.network.others()[0]
         call = self.hold(holder, 'a')
         staying = self.hold(holder, 'b')
@@ -106,7 +111,7 @@
         self.assertTrue(staying.worker)
 
     def test_dead_holder(self):
-        """The slots of a host that died go to others."""
+        """The slots of a failed host are granted to others."""
         holder, other = self.network.others()
         self.fill(holder)
         waiting = self.hold(other, 'waiting')
@@ -116,7 +121,10 @@
         self.assertTrue(waiting.worker)
 
     def test_silent_holder(self):
-        """The slots of a holder that nobody monitors are freed in time."""
+        """The slots of a holder that falls silent are released after a while.
+
+        Nothing else reports its failure to the pool's host.
+        """
         holder, other = self.network.others()
         self.fill(holder)
         waiting = self.hold(other, 'waiting')
@@ -126,7 +134,7 @@
         self.assertTrue(waiting.worker)
 
     def test_thawed_holder(self):
-        """A holder that was given up tells of its slots when it is back."""
+        """A holder that was removed as silent recovers its slots."""
         holder, other = self.network.others()
         call = self.hold(holder, 'a')
         self.hold(other, 'b')
@@ -139,7 +147,7 @@
         self.assertTrue(call.worker)
 
     def test_dead_dispatcher(self):
-        """The next host learns of held slots and waiting calls."""
+        """A pool's new host learns of held slots and waiting calls."""
         first, second = self.network.others()
         full = self.fill(first)
         routine = self.hold(first, 'routine', rank=1)
@@ -155,7 +163,10 @@
         self.assertFalse(routine.worker)
 
     def test_held_slots_are_awaited(self):
-        """A new dispatcher grants nothing before all holders told it."""
+        """A pool's new host grants nothing before all holders sent lists.
+
+        Otherwise it would grant slots that are already held.
+        """
         first, second = self.network.others()
         for number in range(SLOTS):
             self.hold((first, second)[number % 2], f'full-{number}')
@@ -168,7 +179,7 @@
         self.assertFalse(waiting.worker)
 
     def test_frozen_dispatcher(self):
-        """A dispatcher that answers no more is passed over until it does."""
+        """A pool moves from a host that does not answer, and back later."""
         frozen = self.network.server()
         holder = self.network.others()[0]
         self.network.cut.add(frozen.entry.incarnation)
@@ -182,7 +193,7 @@
         self.assertEqual(holder.routes.suspects, set())
 
     def test_late_grant(self):
-        """A grant for a call that has ended is given back."""
+        """A slot that is granted to an ended call is released."""
         holder = self.network.others()[0]
         self.network.lost_kinds = (slot_messages.SlotReleased,)
         call = self.hold(holder, 'a')
@@ -198,7 +209,7 @@
         self.assertEqual(server.slots(), set())
 
     def test_new_incarnation(self):
-        """A host that goes on under a new incarnation keeps its slots."""
+        """A host that continues as a new incarnation keeps its slots."""
         for host in (self.network.others()[0], self.network.server()):
             before = self.hold(host, f'before-{host.entry.incarnation}')
             host.reincarnate()
@@ -215,7 +226,7 @@
             self.assertEqual(self.network.server().slots(), set())
 
     def test_door(self):
-        """New programs are refused at the door once a pool says so."""
+        """New programs are refused while a pool reports a long wait."""
         holder = self.network.others()[0]
         holder.broker.check_new_program(1, queue_limit_ms=4000)
         server = self.network.server()
@@ -234,7 +245,7 @@
         holder.broker.check_new_program(1, queue_limit_ms=4000)
 
     def test_call_taken_over(self):
-        """A call that another host took over outlives its former holder."""
+        """A call that another host took over survives its former holder."""
         former, other = self.network.others()
         self.hold(former, 'a')
         self.hold(other, 'a')
@@ -243,7 +254,7 @@
         self.assertEqual(self.network.server().slots(), {'a'})
 
     def test_worker_added(self):
-        """A new worker's slots go to the calls that wait."""
+        """The slots of a new worker are granted to waiting calls."""
         host = self.network.hosts[0]
         self.fill(host)
         waiting = self.hold(host, 'waiting')
@@ -252,7 +263,7 @@
         self.assertEqual(waiting.worker, 'engine-2')
 
     def test_worker_removed(self):
-        """A removed worker gets no calls; its slots run out."""
+        """A removed worker gets no further calls while its last ones end."""
         full = self.fill(self.network.hosts[0])
         self.roll(version=2, workers=1)
         waiting = self.hold(self.network.hosts[1], 'waiting')
@@ -264,7 +275,7 @@
         self.assertEqual(waiting.worker, 'engine-0')
 
     def test_model_removed(self):
-        """Calls that wait for a model that is gone are refused."""
+        """Calls that wait for a removed model are refused."""
         host = self.network.hosts[0]
         self.fill(host)
         waiting = self.hold(host, 'waiting')
@@ -273,7 +284,7 @@
         self.assertIsInstance(waiting.error, exceptions.NotRunError)
 
     def test_leaving_worker(self):
-        """A leaving worker gets no calls until it is taken off the list."""
+        """A leaving worker gets no calls until it is no longer leaving."""
         for host in self.network.hosts:
             host.pool_host.mark_leaving(['engine-0'])
         full = self.fill(self.network.hosts[0])
@@ -288,7 +299,7 @@
         self.assertEqual(full[-1].worker, 'engine-0')
 
     def test_repeated_ask(self):
-        """An ask that arrives twice gets one slot."""
+        """A request that arrives twice gets one slot."""
         holder = self.network.others()[0]
         call = self.hold(holder, 'a')
         server = self.network.server()
