--- a/src/carobfork/state/budgets.py
+++ b/src/carobfork/state/budgets.py
@@ -113,9 +113,9 @@
         self.spent_calls += calls
         self.spent_tokens += tokens
 
-    def _check_available(self, asked: int, free: int, unit: str) -> None:
-        if asked > free:
+    def _check_available(self, requested: int, free: int, unit: str) -> None:
+        if requested > free:
             raise exceptions.BudgetExceededError(
-                f'{asked} {unit} requested, {max(free, 0)} {unit} left',
+                f'{requested} {unit} requested, {max(free, 0)} {unit} left',
                 step=_STEP,
             )
--- a/tests/slot_hosts.py
+++ b/tests/slot_hosts.py
@@ -90,7 +90,7 @@
         """Return False, since no host is about to stop."""
         return False
 
-    def bury(self, victim):
+    def report_failure(self, victim):
         """Report a failed host to all hosts."""
         self.dead.add(victim.entry.incarnation)
         for host in self.hosts:
--- a/tests/test_dispatchers.py
+++ b/tests/test_dispatchers.py
@@ -160,9 +160,9 @@
             self.submit(f'new-{number}', rank=1, started=False)
         self.assertEqual(self.dispatcher.shed_excess(), [])
         self.serve(rounds=1)
-        given_up = self.dispatcher.shed_excess()
-        self.assertGreater(len(given_up), 200)
-        self.assertNotIn('old', {call.identifier for call in given_up})
+        shed = self.dispatcher.shed_excess()
+        self.assertGreater(len(shed), 200)
+        self.assertNotIn('old', {call.identifier for call in shed})
 
     def test_waits_for_cached_prefix(self):
         """A call waits for its cached prefix if a prefill takes longer."""
--- a/tests/test_isolations.py
+++ b/tests/test_isolations.py
@@ -23,7 +23,7 @@
 SLOTS = 20
 STEP_MS = 6
 TARGET_MS = 12
-SHORT = 6
+MAX_ISOLATED_BATCH = 6
 
 
 class WideLimiter(slot_limiters.FixedLimiter):
@@ -93,7 +93,7 @@
         routine = [grant.worker for grant in self.grant_all()]
         self.assertEqual(len(urgent), 1)
         isolated = urgent.pop()
-        self.assertLessEqual(self.batch(isolated), SHORT)
+        self.assertLessEqual(self.batch(isolated), MAX_ISOLATED_BATCH)
         self.assertEqual(len(routine) - routine.count(isolated), SLOTS)
 
     def test_without_a_target_batches_fill(self):
@@ -146,19 +146,19 @@
 
     def test_line(self):
         """The limit follows the line on which all reports lie."""
-        pace = latency_models.LatencyModel()
+        model = latency_models.LatencyModel()
         for busy in (2, 10, 20):
-            pace.observe(busy, STEP_MS + busy)
-        self.assertEqual(pace.max_slots(TARGET_MS), SHORT)
+            model.observe(busy, STEP_MS + busy)
+        self.assertEqual(model.max_slots(TARGET_MS), MAX_ISOLATED_BATCH)
 
     def test_one_batch_size(self):
         """With a single batch size, latency is proportional to the slots."""
-        pace = latency_models.LatencyModel()
-        pace.observe(10, 20)
-        self.assertEqual(pace.max_slots(10), 5)
+        model = latency_models.LatencyModel()
+        model.observe(10, 20)
+        self.assertEqual(model.max_slots(10), 5)
 
     def test_at_least_one(self):
         """A target that no batch can meet still allows one slot."""
-        pace = latency_models.LatencyModel()
-        pace.observe(10, 20)
-        self.assertEqual(pace.max_slots(1), 1)
+        model = latency_models.LatencyModel()
+        model.observe(10, 20)
+        self.assertEqual(model.max_slots(1), 1)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -116,7 +116,7 @@
         self.fill(holder)
         waiting = self.hold(other, 'waiting')
         self.network.cut.add(holder.entry.incarnation)
-        self.network.bury(holder)
+        self.network.report_failure(holder)
         gevent.sleep(0)
         self.assertTrue(waiting.worker)
 
@@ -154,7 +154,7 @@
         urgent = self.hold(second, 'urgent', rank=0)
         dead = self.network.server()
         self.network.cut.add(dead.entry.incarnation)
-        self.network.bury(dead)
+        self.network.report_failure(dead)
         self.assertIsNot(self.network.server(), dead)
         self.network.tick(count=2)
         self.assertEqual(len(self.network.server().slots()), SLOTS)
@@ -173,7 +173,7 @@
         waiting = self.hold(first, 'waiting')
         dead = self.network.server()
         self.network.cut.add(dead.entry.incarnation)
-        self.network.bury(dead)
+        self.network.report_failure(dead)
         self.network.tick(count=3)
         gevent.sleep(0)
         self.assertFalse(waiting.worker)
@@ -250,7 +250,7 @@
         self.hold(former, 'a')
         self.hold(other, 'a')
         self.network.cut.add(former.entry.incarnation)
-        self.network.bury(former)
+        self.network.report_failure(former)
         self.assertEqual(self.network.server().slots(), {'a'})
 
     def test_worker_added(self):
