--- a/src/carobfork/gateway/directories.py
+++ b/src/carobfork/gateway/directories.py
@@ -6,7 +6,7 @@
 from carobfork.storage import messages
 
 MAX_ADDRESSES = 64
-MIN_ZONE_HOSTS = 6
+MIN_LOCAL_HOSTS = 6
 """Entry hosts of one failure domain that can serve its callers by
 themselves: the loss of one still leaves most of them."""
 HOSTS_TTL_MS = 1600
@@ -26,21 +26,23 @@
     """
 
     def __init__(
-        self, node: str, zone: str, address: str, timer: clock.Clock
+        self, node: str, failure_domain: str, address: str, timer: clock.Clock
     ) -> None:
         """Start knowing this host only."""
         self.version = 0
         self._timer = timer
         self._updated_ms = float('-inf')
         self._node = node
-        self._zone = zone
+        self._failure_domain = failure_domain
         self._address = address
         self._hosts: dict[str, tuple[str, str, bool]] = {}
 
     @property
-    def is_zone_self_sufficient(self) -> bool:
+    def has_enough_local_hosts(self) -> bool:
         """Whether callers of this failure domain come to its hosts only."""
-        return len(list(self._others(self._zone))) + 1 >= MIN_ZONE_HOSTS
+        return (
+            len(list(self._others(self._failure_domain))) + 1 >= MIN_LOCAL_HOSTS
+        )
 
     def update(self, message: messages.Hosts) -> None:
         """Take what a store host has heard."""
@@ -49,7 +51,7 @@
             self._hosts = message.hosts
             self.version = message.version
 
-    def addresses(self, zone: str, is_self_ready: bool) -> list[str]:
+    def addresses(self, failure_domain: str, is_self_ready: bool) -> list[str]:
         """Return the addresses for callers of a failure domain.
 
         Near hosts only, where they are enough: bytes between domains cost.
@@ -59,21 +61,21 @@
         """
         if self._timer.now_ms() - self._updated_ms > HOSTS_TTL_MS:
             return []
-        near = list(self._others(zone))
-        if is_self_ready and zone == self._zone:
+        near = list(self._others(failure_domain))
+        if is_self_ready and failure_domain == self._failure_domain:
             near.insert(0, self._address)
-        if len(near) >= MIN_ZONE_HOSTS:
+        if len(near) >= MIN_LOCAL_HOSTS:
             return near[:MAX_ADDRESSES]
         others = list(self._others())
         if is_self_ready:
             others.insert(0, self._address)
         return others[:MAX_ADDRESSES]
 
-    def _others(self, zone: str = '') -> Iterator[str]:
+    def _others(self, failure_domain: str = '') -> Iterator[str]:
         """Yield the addresses of other hosts, of one domain or of all."""
-        for node, (address, host_zone, is_leaving) in sorted(
+        for node, (address, host_domain, is_leaving) in sorted(
             self._hosts.items()
         ):
-            matches_zone = host_zone == zone or not zone
-            if node != self._node and matches_zone and not is_leaving:
+            matches_domain = host_domain == failure_domain or not failure_domain
+            if node != self._node and matches_domain and not is_leaving:
                 yield address
--- a/src/carobfork/gateway/placements.py
+++ b/src/carobfork/gateway/placements.py
@@ -18,7 +18,7 @@
 LOW_LOAD_RATIO = 0.5
 """Of the slots, up to which servers show no difference."""
 RECENT_CONNECTION_MS = connection_pools.MAX_UNSAFE_IDLE_MS
-MIN_ZONE_WORKERS = 4
+MIN_LOCAL_WORKERS = 4
 """Servers of one failure domain that can be the homes of its programs."""
 SAMPLE_SIZE = 2
 """Servers that are compared: one of two is near the best of all, and spreads
@@ -73,7 +73,7 @@
         return max(
             _prefer_local(connected), key=lambda worker: worker.last_kept_ms
         )
-    has_local_capacity = any(worker.is_zone_local for worker in lightly_loaded)
+    has_local_capacity = any(worker.is_local for worker in lightly_loaded)
     return _sample_least_loaded(
         _prefer_local(free) if has_local_capacity else free, now_ms
     )
@@ -92,8 +92,8 @@
     """
     key = call.program if call.prompt_tokens else call.affinity
     if key:
-        local = [worker for worker in candidates if worker.is_zone_local]
-        homes = local if len(local) >= MIN_ZONE_WORKERS else candidates
+        local = [worker for worker in candidates if worker.is_local]
+        homes = local if len(local) >= MIN_LOCAL_WORKERS else candidates
         for worker in sorted(homes, key=_rendezvous_key(key))[:2]:
             if _load_ratio(worker, now_ms) < MAX_HOME_LOAD_RATIO:
                 return worker
@@ -142,9 +142,7 @@
 
 def _prefer_local(candidates: list[workers.Worker]) -> list[workers.Worker]:
     """Return the near ones, or all where none is."""
-    return [
-        worker for worker in candidates if worker.is_zone_local
-    ] or candidates
+    return [worker for worker in candidates if worker.is_local] or candidates
 
 
 def _sample_least_loaded(
--- a/src/carobfork/gateway/workers.py
+++ b/src/carobfork/gateway/workers.py
@@ -52,7 +52,7 @@
     service: str
     ip: str
     port: int
-    zone: str
+    failure_domain: str
     slots: int
     is_draining: bool = False
     started_ms: float = 0
@@ -88,7 +88,7 @@
     last_suspected_ms: float = NEVER_MS
     last_failure_ms: float = NEVER_MS
     mean_duration_ms: float = 0
-    is_zone_local: bool = False
+    is_local: bool = False
 
     @property
     def instance(self) -> str:
@@ -160,7 +160,7 @@
         self._relisting_until_ms = NEVER_MS
         self._remote_waiting: Mapping[str, int] = {}
         self._remote_updated_ms = NEVER_MS
-        self._zone = ''
+        self._failure_domain = ''
 
     def __iter__(self) -> Iterator[Worker]:
         """Iterate over all servers, also those whose entry is gone."""
@@ -170,12 +170,12 @@
         """Return a server, if it is known."""
         return self._workers.get(instance)
 
-    def prefer_zone(self, zone: str) -> None:
+    def prefer_failure_domain(self, failure_domain: str) -> None:
         """Prefer the servers of a failure domain, or of none."""
-        if zone != self._zone:
-            self._zone = zone
+        if failure_domain != self._failure_domain:
+            self._failure_domain = failure_domain
             for worker in self._workers.values():
-                worker.is_zone_local = worker.entry.zone == zone
+                worker.is_local = worker.entry.failure_domain == failure_domain
 
     def apply(self, entries: Iterable[Entry], was_unreachable: bool) -> None:
         """Take over the registry's entries.
@@ -309,7 +309,7 @@
             # Calls of the process before give their slots back to its own
             # object, which is not looked at any more.
             self._workers[entry.instance] = Worker(
-                entry, is_zone_local=entry.zone == self._zone
+                entry, is_local=entry.failure_domain == self._failure_domain
             )
             return
         if known.entry.is_draining != entry.is_draining:
--- a/src/carobfork/platform/decoding.py
+++ b/src/carobfork/platform/decoding.py
@@ -156,7 +156,7 @@
             service=spec['Service'],
             ip=ip,
             port=int(port),
-            zone=spec['Zone'],
+            failure_domain=spec['Zone'],
             slots=spec['Slots'],
             is_draining=spec['State'] == names.STATE_DRAINING,
             # Unix time of the process's start; the instance may be older.
@@ -172,7 +172,7 @@
 
 
 def _is_sound(entry: workers.Entry) -> bool:
-    texts = (entry.service, entry.zone, entry.ip)
+    texts = (entry.service, entry.failure_domain, entry.ip)
     if not all(isinstance(text, str) and text for text in texts):
         return False
     return type(entry.slots) is int and entry.slots > 0  # noqa: WPS516
--- a/src/carobfork/roles/front.py
+++ b/src/carobfork/roles/front.py
@@ -190,8 +190,10 @@
         news = told
         if isinstance(told, messages.Hosts):
             self.directory.update(told)
-            is_near = self.directory.is_zone_self_sufficient
-            self.table.prefer_zone(self.settings.zone if is_near else '')
+            is_near = self.directory.has_enough_local_hosts
+            self.table.prefer_failure_domain(
+                self.settings.zone if is_near else ''
+            )
             self.table.update_remote_load(told.in_flight, told.waiting)
             self.table.update_suspects(told.suspects)
             news = told.news
--- a/tests/test_boards.py
+++ b/tests/test_boards.py
@@ -13,25 +13,25 @@
     def setUp(self):
         """Start without turns."""
         self.timer = clock.ManualClock()
-        self.board = turn_counters.TurnCounter(self.timer)
+        self.counter = turn_counters.TurnCounter(self.timer)
 
     def test_turns_begin_and_end(self):
         """Each counts once, on the server that was named last."""
-        self.board.assign('t1', 'a')
-        self.board.assign('t2', 'a')
-        self.board.assign('t2', 'b')
-        self.assertEqual(self.board.counts(), {'a': 1, 'b': 1})
-        self.board.remove('t1')
-        self.board.remove('t1')
-        self.board.remove('never')
-        self.assertEqual(self.board.counts(), {'b': 1})
+        self.counter.assign('t1', 'a')
+        self.counter.assign('t2', 'a')
+        self.counter.assign('t2', 'b')
+        self.assertEqual(self.counter.counts(), {'a': 1, 'b': 1})
+        self.counter.remove('t1')
+        self.counter.remove('t1')
+        self.counter.remove('never')
+        self.assertEqual(self.counter.counts(), {'b': 1})
 
     def test_turns_of_a_lost_host(self):
         """They stop counting after the longest turn."""
-        self.board.assign('t1', 'a')
+        self.counter.assign('t1', 'a')
         self.timer.advance(turn_counters.OPEN_TURN_TTL_MS + 1)
-        self.board.assign('t2', 'b')
-        self.assertEqual(self.board.counts(), {'b': 1})
+        self.counter.assign('t2', 'b')
+        self.assertEqual(self.counter.counts(), {'b': 1})
 
 
 class BurstTest(unittest.TestCase):
@@ -44,7 +44,7 @@
     def setUp(self):
         """Start with idle servers and as many tables as hosts."""
         self.timer = clock.ManualClock()
-        self.board = turn_counters.TurnCounter(self.timer)
+        self.counter = turn_counters.TurnCounter(self.timer)
         entries = [
             workers.Entry(f's{number}', 'e', '127.0.0.1', 1, 'z', self.slots)
             for number in range(self.servers)
@@ -61,20 +61,20 @@
         choose = placements.PLACEMENTS['home']
         first = choose(call, table.usable('e'), self.timer.now_ms())
         announced = first.instance if first else ''
-        self.board.assign(call.attempt, announced)
-        table.update_open_turns(self.board.counts(), announced)
+        self.counter.assign(call.attempt, announced)
+        table.update_open_turns(self.counter.counts(), announced)
         worker = choose(call, table.usable('e'), self.timer.now_ms())
         if worker is None:
-            self.board.remove(call.attempt)
+            self.counter.remove(call.attempt)
             return
         worker.in_flight += 1
-        self.board.assign(call.attempt, worker.instance)
+        self.counter.assign(call.attempt, worker.instance)
 
     def test_no_server_gets_more_than_its_slots(self):
         """All hosts see each turn at once; what is left waits."""
         for number in range(60):
             self.place(self.tables[number % self.hosts], number)
-        counts = self.board.counts()
+        counts = self.counter.counts()
         self.assertEqual(sum(counts.values()), self.servers * self.slots)
         self.assertEqual(set(counts.values()), {self.slots})
 
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -41,9 +41,9 @@
         self.table = workers.WorkerTable(self.timer)
         self.apply('a', 'b')
 
-    def apply(self, *instances, was_away=False):
+    def apply(self, *instances, was_unreachable=False):
         """Take over a listing."""
-        self.table.apply([entry(name) for name in instances], was_away)
+        self.table.apply([entry(name) for name in instances], was_unreachable)
 
     def usable(self):
         """Return the names of those that may get calls."""
@@ -63,7 +63,7 @@
 
     def test_entries_come_back_after_an_outage(self):
         """Those that lapsed in it have time to return, then are gone."""
-        self.apply(was_away=True)
+        self.apply(was_unreachable=True)
         self.timer.advance(workers.UNLISTED_TTL_MS + 1)
         self.assertEqual(self.usable(), ['a', 'b'])
         self.apply('a')
@@ -158,7 +158,7 @@
         """Programs of one failure domain stay in it, where it is enough."""
         far = [workers.Worker(entry(name)) for name in 'abcd']
         for worker in self.candidates:
-            worker.is_zone_local = True
+            worker.is_local = True
         for number in range(20):
             call = calls.Call('a', program=str(number), prompt_tokens=9)
             home = self.place(call, [*far, *self.candidates], 0)
@@ -227,7 +227,7 @@
     def test_large_domains_serve_themselves(self):
         """Callers are told hosts of their own domain."""
         self.tell(a=8, b=9)
-        self.assertTrue(self.directory.is_zone_self_sufficient)
+        self.assertTrue(self.directory.has_enough_local_hosts)
         for zone, count in (('a', 8), ('b', 9)):
             found = self.directory.addresses(zone, is_self_ready=True)
             self.assertEqual(len(found), count)
@@ -236,7 +236,7 @@
     def test_small_domains_share_all_hosts(self):
         """Too few near hosts would be lost at once."""
         self.tell(a=2, b=9)
-        self.assertFalse(self.directory.is_zone_self_sufficient)
+        self.assertFalse(self.directory.has_enough_local_hosts)
         found = self.directory.addresses('a', is_self_ready=True)
         self.assertEqual(len(found), 11)
 
