--- a/src/carobfork/gateway/admissions.py
+++ b/src/carobfork/gateway/admissions.py
@@ -1,4 +1,4 @@
-"""Admissions: slots of backend servers for runs, and refusals."""
+"""Admit calls: grant them slots of backend servers or refuse them."""
 
 import contextlib
 from collections.abc import Callable, Iterator
@@ -10,26 +10,27 @@
 from carobfork.gateway import exchanges, placements, queues, workers
 
 PROCESS_INTERVAL_MS = 20
-"""Between looks at calls that wait: slots come free at other hosts, too."""
+"""Interval at which waiting calls are reconsidered, because slots also become
+free when calls of other hosts end."""
 _JITTER_STEPS = 1000
 
 
 def _discard_slot(_worker: workers.Worker | None) -> None:
-    """Take no slot."""
+    """Ignore the granted worker: the call is only a preview."""
 
 
 class AdmissionController:
-    """The desks of all services.
+    """The call queues of all services.
 
-    :param table: the backend servers.
-    :param timer: measures spans.
-    :param policy: name of the placement policy.
+    :param table: the backend servers that calls are scheduled on.
+    :param timer: the clock for deadlines and waiting times.
+    :param policy: registered name of the placement policy.
     """
 
     def __init__(
         self, table: workers.WorkerTable, timer: clock.Clock, policy: str
     ) -> None:
-        """Start without desks."""
+        """Create a controller without queues."""
         self._table = table
         self._timer = timer
         self._policy = placements.PLACEMENTS[policy]
@@ -37,7 +38,7 @@
         self._has_waiting = event.Event()
 
     def queue(self, service: str) -> queues.CallQueue:
-        """Return the desk of a service."""
+        """Return the queue of a service; create it on first use."""
         if service not in self._queues:
             self._queues[service] = queues.CallQueue(
                 service,
@@ -49,7 +50,7 @@
         return self._queues[service]
 
     def waiting(self) -> dict[str, int]:
-        """Return the calls that wait for a slot, by service."""
+        """Return the number of waiting calls by service, without zeros."""
         return {
             name: len(queue.waiting)
             for name, queue in self._queues.items()
@@ -57,14 +58,14 @@
         }
 
     def process_waiting(self) -> None:
-        """Let all desks look at what waits."""
+        """Grant free slots and refuse overdue calls in all queues."""
         for queue in list(self._queues.values()):
             queue.process_waiting()
 
     def run(self) -> None:
-        """Serve what waits, until the greenlet is killed.
+        """Process waiting calls until the greenlet is killed.
 
-        Sleeps where nothing waits, as is usual on most hosts.
+        Sleep while no call waits, which is the normal state of most hosts.
         """
         while True:
             self._has_waiting.wait()
@@ -74,16 +75,20 @@
             gevent.sleep(clock.to_seconds(PROCESS_INTERVAL_MS))
 
     def preview(self, context: exchanges.RequestContext) -> str:
-        """Return the server that a run would get now, if any."""
+        """Return the worker that a call would get now, or an empty string.
+
+        :param context: the request that the call belongs to.
+        """
         return self.queue(context.service).preview(self._queued_call(context))
 
     @contextlib.contextmanager
     def slot(
         self, context: exchanges.RequestContext
     ) -> Iterator[workers.Worker]:
-        """Hold a slot of a server.
+        """Hold a slot of a backend server while the context is open.
 
-        :raises OverloadedError: there is none in time.
+        :param context: the request that the call belongs to.
+        :raises OverloadedError: if no slot can be granted in time.
         """
         queue = self.queue(context.service)
         worker = self._wait_for_slot(context, queue)
@@ -96,13 +101,18 @@
     def refusal(
         self, context: exchanges.RequestContext, reason: str
     ) -> exceptions.CarobforkError:
-        """Return the error of a run that gets no slot."""
+        """Return the error for a call that is not admitted.
+
+        :param context: the request that the call belongs to.
+        :param reason: why the call is refused.
+        """
         queue = self.queue(context.service)
         left_ms = context.deadline_at_ms - self._timer.now_ms()
-        # Attempts are random, so their hashes spread a burst's return.
+        # Attempt identifiers are random, so their hashes spread the retries
+        # of a burst.
         jitter = (hash(context.call.attempt) % _JITTER_STEPS) / _JITTER_STEPS
         return exceptions.OverloadedError(
-            f'{reason}; {len(queue.waiting)} wait',
+            f'{reason}; {len(queue.waiting)} calls are waiting',
             step='admit',
             peer=context.service,
             retry_after_ms=int(queue.retry_after_ms(left_ms, jitter)),
--- a/src/carobfork/gateway/budgets.py
+++ b/src/carobfork/gateway/budgets.py
@@ -1,4 +1,7 @@
-"""Budgets: whether a program's tokens cover one more turn."""
+"""Check whether a program's token budget covers one more turn.
+
+Tokens are charged for every attempt to run a turn on a backend server.
+"""
 
 from collections.abc import Mapping
 
@@ -6,13 +9,15 @@
 
 
 def covers(call: calls.Call, charges: Mapping[str, tuple[int, bool]]) -> bool:
-    """Tell whether a turn may run.
+    """Return whether the budget covers a turn.
 
-    Attempts that have not ended count with the most they may generate, so
-    turns of one program that start at the same time on several hosts can't
-    exceed its budget together.
+    An attempt that has not ended is charged with the maximum that it may
+    generate, so that turns of one program that start at the same time on
+    several hosts can't exceed its budget together.
 
-    :param charges: tokens by attempt, the turn's own reservation included.
+    :param call: the call that the turn consists of.
+    :param charges: tokens and whether they are settled, by attempt; includes
+        the reservation of this turn.
     """
     if call.budget_tokens is None:
         return True
--- a/src/carobfork/gateway/calls.py
+++ b/src/carobfork/gateway/calls.py
@@ -1,22 +1,31 @@
-"""Calls: what a caller's request says about itself."""
+"""Define the call metadata that HTTP heads carry.
+
+Callers describe a call in the headers of their request; backend servers
+describe the result in the headers of their response.
+"""
 
 import attrs
 
 
 @attrs.frozen
 class Call:
-    """One attempt of a caller, decoded from its headers.
+    """One attempt of a caller, decoded from the request's headers.
 
-    :param attempt: identifies the attempt; each retry has its own.
-    :param deadline_ms: how long the caller waits, if it says so.
+    :param attempt: identifier of the attempt; each retry has its own.
+    :param deadline_ms: how long the caller waits for the answer, if known.
     :param program: the program that the call belongs to, if any.
-    :param session: the line of turns within the program.
-    :param finish_ms: time left until the program should be finished.
-    :param budget_tokens: tokens that all turns of the program may generate.
+    :param session: the conversation within the program.
+    :param program_deadline_ms: time left until the program should be
+        finished, if known.
+    :param budget_tokens: tokens that all turns of the program together may
+        generate, if limited.
     :param prompt_tokens: length of the prompt.
-    :param output_tokens: most tokens that the call generates.
+    :param output_tokens: maximum number of tokens that the call generates.
     :param previous_turn: the attempt of the turn that this one continues.
-    :param last_event: the last event that the caller has, if it resumes.
+    :param last_event: identifier of the last event that the caller received,
+        if it resumes a stream.
+    :param affinity: key that places a call without a prompt; calls with the
+        same key prefer the same backend server.
     :param prefix: identifiers and lengths of the prompt's shared parts.
     """
 
@@ -36,13 +45,16 @@
 
 @attrs.frozen
 class ServerAnswer:
-    """What a backend server's response head says about itself.
+    """The metadata in the head of a backend server's response.
 
-    :param attempt: the attempt that it answers.
-    :param not_run: whether the server says that it did not run the call.
-    :param is_elsewhere: whether another server has the address now.
-    :param load: running calls, waiting calls and slots, if told.
-    :param idle_ms: how long the server keeps the connection, if told.
+    :param status: the HTTP status code.
+    :param attempt: the attempt that the response belongs to, if named.
+    :param not_run: whether the server declares that it did not run the call.
+    :param is_elsewhere: whether another server has taken over the address.
+    :param is_encoded: whether the body has a content encoding.
+    :param load: running calls, waiting calls and slots, if reported.
+    :param idle_ms: how long the server keeps an idle connection open, if
+        reported.
     """
 
     status: int
@@ -54,9 +66,11 @@
     idle_ms: float | None = None
 
     def is_for(self, attempt: str) -> bool:
-        """Tell whether this answers an attempt.
+        """Return whether the response answers an attempt.
+
+        A server that did not run the call may omit the attempt.
 
-        A server that did not run a call may leave the attempt out.
+        :param attempt: identifier of the expected attempt.
         """
         if self.not_run and not self.attempt:
             return True
--- a/src/carobfork/gateway/directories.py
+++ b/src/carobfork/gateway/directories.py
@@ -1,4 +1,7 @@
-"""Directories: which entry hosts callers should connect to."""
+"""Tell callers which entry hosts to connect to.
+
+Entry hosts forward the calls to backend servers.
+"""
 
 from collections.abc import Iterator
 
@@ -6,29 +9,32 @@
 from carobfork.storage import messages
 
 MAX_ADDRESSES = 64
+"""Maximum number of addresses in one answer."""
 MIN_LOCAL_HOSTS = 6
-"""Entry hosts of one failure domain that can serve its callers by
-themselves: the loss of one still leaves most of them."""
+"""Minimum number of entry hosts of one failure domain that serve its callers
+alone: the loss of one of them leaves most of the capacity."""
 HOSTS_TTL_MS = 1600
-"""Six beats: a store host that was lost has been replaced by another."""
+"""How long a store host's report is trusted: about six heartbeats. By then
+another store host has replaced a lost one."""
 
 
 class Directory:
-    """The entry hosts that are alive, as a store host tells.
+    """The live entry hosts as last reported by a store host.
 
-    Where no store host has told of them lately, this host is cut off, and
-    others may be, too: callers then ask another directory.
+    A host without a recent report is cut off from the store hosts, and the
+    entry hosts that it knows may be cut off as well. It returns no addresses,
+    so that callers ask another directory.
 
     :param node: this host's name.
-    :param zone: this host's failure domain.
+    :param failure_domain: this host's failure domain.
     :param address: where callers reach this host.
-    :param timer: measures the age of what was told.
+    :param timer: measures the age of the last report.
     """
 
     def __init__(
         self, node: str, failure_domain: str, address: str, timer: clock.Clock
     ) -> None:
-        """Start knowing this host only."""
+        """Create a directory that knows only this host."""
         self.version = 0
         self._timer = timer
         self._updated_ms = float('-inf')
@@ -39,13 +45,13 @@
 
     @property
     def has_enough_local_hosts(self) -> bool:
-        """Whether callers of this failure domain come to its hosts only."""
+        """Whether this failure domain's hosts serve its callers alone."""
         return (
             len(list(self._others(self._failure_domain))) + 1 >= MIN_LOCAL_HOSTS
         )
 
     def update(self, message: messages.Hosts) -> None:
-        """Take what a store host has heard."""
+        """Apply a store host's report of the live entry hosts."""
         self._updated_ms = self._timer.now_ms()
         if message.hosts is not None:
             self._hosts = message.hosts
@@ -54,9 +60,11 @@
     def addresses(self, failure_domain: str, is_self_ready: bool) -> list[str]:
         """Return the addresses for callers of a failure domain.
 
-        Near hosts only, where they are enough: bytes between domains cost.
-        None, where this host can't tell who is alive.
+        If the domain has enough hosts, only these are returned, because
+        traffic between failure domains costs money. The list is empty if the
+        last report is too old to tell which hosts are alive.
 
+        :param failure_domain: the callers' failure domain.
         :param is_self_ready: whether this host can serve callers.
         """
         if self._timer.now_ms() - self._updated_ms > HOSTS_TTL_MS:
@@ -72,7 +80,7 @@
         return others[:MAX_ADDRESSES]
 
     def _others(self, failure_domain: str = '') -> Iterator[str]:
-        """Yield the addresses of other hosts, of one domain or of all."""
+        """Yield other hosts' addresses in one failure domain or in all."""
         for node, (address, host_domain, is_leaving) in sorted(
             self._hosts.items()
         ):
--- a/src/carobfork/gateway/placements.py
+++ b/src/carobfork/gateway/placements.py
@@ -1,7 +1,8 @@
-"""Placements: which backend server runs a call.
+"""Choose the backend server that runs a call.
 
-Policies fill a registry by decorator. Each takes the call, the servers that
-may run it and the time, and returns one, or nothing where all are full.
+Placement policies are registered under a name. A policy takes the call, the
+candidate workers and the time in ms, and returns a worker, or ``None`` if no
+candidate has a free slot.
 """
 
 import random
@@ -11,20 +12,25 @@
 from carobfork.gateway import calls, connection_pools, workers
 
 MAX_HOME_LOAD_RATIO = 0.85
-"""Of a home's slots that may be taken before a program goes elsewhere.
-
-Leaves room for the calls that other hosts grant at the same moment.
-"""
+"""Share of a home worker's slots that may be in use before a program's calls
+go elsewhere. The rest is left for calls that other hosts place at the same
+moment."""
 LOW_LOAD_RATIO = 0.5
-"""Of the slots, up to which servers show no difference."""
+"""Share of the slots in use below which a backend server responds as quickly as
+an idle one."""
 RECENT_CONNECTION_MS = connection_pools.MAX_UNSAFE_IDLE_MS
+"""Idle time up to which any call may use a kept connection, also one that runs
+at most once."""
 MIN_LOCAL_WORKERS = 4
-"""Servers of one failure domain that can be the homes of its programs."""
+"""Minimum number of local workers with which programs are kept in the failure
+domain."""
 SAMPLE_SIZE = 2
-"""Servers that are compared: one of two is near the best of all, and spreads
-the calls that many hosts place by the same outdated view."""
+"""Number of randomly drawn workers to compare (power of two choices). The
+better of two is close to the best of all, and the draw spreads the calls that
+many hosts place with the same outdated load figures."""
 MAX_CALLS_PER_SLOT = 2
-"""Calls a slot that a server gets at most, running or waiting there."""
+"""Maximum number of calls per slot, running or waiting, on a worker that takes
+calls beyond its slots."""
 
 PlacementPolicy = Callable[
     [calls.Call, Sequence[workers.Worker], float], workers.Worker | None
@@ -33,7 +39,7 @@
 
 
 def register(name: str) -> Callable[[PlacementPolicy], PlacementPolicy]:
-    """Register a policy under a name."""
+    """Return a decorator that registers a policy under a name."""
 
     def decorator(policy: PlacementPolicy) -> PlacementPolicy:  # noqa: WPS430
         PLACEMENTS[name] = policy
@@ -46,13 +52,15 @@
 def place_least_loaded(
     _call: calls.Call, candidates: Sequence[workers.Worker], now_ms: float
 ) -> workers.Worker | None:
-    """Choose the less loaded of two servers drawn at random.
+    """Choose the less loaded of two random workers.
+
+    Suits calls without a shared prefix at any load. Choosing the least loaded
+    of all workers would fail: the hosts share load figures that are some
+    hundred ms old and would all choose the one worker that appears idle.
 
-    Answers calls without a shared prefix at any load. Many hosts with the
-    same view, some hundred ms old, would all choose the one server that seems
-    idle. Below half load a server is as quick as an idle one, so one with a
-    kept connection is better: many hosts before many servers would else
-    connect anew each time.
+    Below half load a worker is as quick as an idle one, so workers with a
+    recently used connection come first. Otherwise, with many hosts and many
+    workers, nearly every call would open a new connection.
     """
     free = [
         worker
@@ -83,12 +91,14 @@
 def place_at_home(
     call: calls.Call, candidates: Sequence[workers.Worker], now_ms: float
 ) -> workers.Worker | None:
-    """Choose the server that holds the program's prompts.
-
-    Answers multi-turn programs with growing prompts: every host finds the
-    same home from the program's name alone, and leaves it when it is nearly
-    full, since waiting costs more than reading the prompt again. A home is
-    near, where enough servers are, and calls without a prompt have none.
+    """Choose the worker that has the program's prompts in its cache.
+
+    Suits multi-turn programs with growing prompts. Every host derives the
+    same home worker from the program's name by rendezvous hashing. If the
+    first two workers of that order are nearly full, the call goes elsewhere,
+    because waiting costs more than reading the prompt again. Homes are local
+    if there are enough local workers. A call without a prompt is placed by
+    its affinity key, or without a home if it has none.
     """
     key = call.program if call.prompt_tokens else call.affinity
     if key:
@@ -104,17 +114,21 @@
 def place_randomly(
     _call: calls.Call, candidates: Sequence[workers.Worker], _now_ms: float
 ) -> workers.Worker | None:
-    """Choose any server, full or not: the baseline."""
+    """Choose a random worker, full or not, as a baseline for comparisons.
+
+    Despite its registered name, the policy does not rotate.
+    """
     return random.choice(candidates) if candidates else None
 
 
 def place_overflow(
     candidates: Sequence[workers.Worker], now_ms: float
 ) -> workers.Worker | None:
-    """Choose the server whose own queue is shortest, if it is short.
+    """Choose the least loaded worker that accepts calls beyond its slots.
 
-    Answers a burst in which all slots are taken and waiting longer here
-    would take more of the call's time than the server's queue.
+    Suits a burst in which all slots are taken: waiting longer in this host's
+    queue would take more of the call's time than the backend server's own
+    queue. Workers at ``MAX_CALLS_PER_SLOT`` are excluded.
     """
     below_limit = [
         worker
@@ -133,7 +147,7 @@
 
 
 def _has_recent_connection(worker: workers.Worker, now_ms: float) -> bool:
-    """Tell whether a connection was used lately."""
+    """Return whether a recently used connection is kept."""
     return bool(
         worker.idle_connections
         and now_ms - worker.last_kept_ms < RECENT_CONNECTION_MS
@@ -141,14 +155,14 @@
 
 
 def _prefer_local(candidates: list[workers.Worker]) -> list[workers.Worker]:
-    """Return the near ones, or all where none is."""
+    """Return the local workers, or all if none is local."""
     return [worker for worker in candidates if worker.is_local] or candidates
 
 
 def _sample_least_loaded(
     candidates: list[workers.Worker], now_ms: float
 ) -> workers.Worker | None:
-    """Return the less loaded of a few drawn at random."""
+    """Return the least loaded worker of a random sample."""
     sample = random.sample(candidates, min(len(candidates), SAMPLE_SIZE))
     return min(
         sample, key=lambda worker: _load_ratio(worker, now_ms), default=None
@@ -156,6 +170,6 @@
 
 
 def _rendezvous_key(key: str) -> Callable[[workers.Worker], int]:
-    """Return a rendezvous hash: a server's place in a key's own order."""
+    """Return the sort key of rendezvous hashing for a program or affinity."""
     seed = key.encode()
     return lambda worker: zlib.crc32(worker.instance.encode(), zlib.crc32(seed))
--- a/src/carobfork/gateway/queues.py
+++ b/src/carobfork/gateway/queues.py
@@ -1,8 +1,8 @@
-"""Desks: calls of one service that wait for a slot.
+"""Queue the calls of a service that wait for a slot of a backend server.
 
-Urgent calls go first, and within a rank those whose program has the least
-time left. A call that can't get a slot in its time is refused when it comes,
-not after it has waited.
+Calls are ordered by rank and, within a rank, by the time that their program
+has left. A call that is not expected to get a slot in time is refused on
+arrival, not after it has waited.
 """
 
 from collections.abc import Callable
@@ -14,30 +14,38 @@
 from carobfork.gateway import calls, placements, routes, workers
 
 MAX_WAIT_RATIO = 0.3
-"""Of the time left that a call may wait: the rest is needed to run it."""
+"""Share of a call's remaining time that it may wait; the rest is needed to run
+it."""
 MAX_WAIT_MS = 800
+"""Upper bound of that wait."""
 MIN_RETRY_AFTER_MS = 60
 MAX_RETRY_AFTER_RATIO = 0.25
-"""Of the time left: callers honour no more than a third."""
+"""Upper bound of the retry delay, as a share of the caller's remaining time:
+callers do not wait longer than a third of it."""
 INITIAL_HOLD_MS = 250
-"""Assumed duration of a call before one was seen: a short turn."""
+"""Assumed time that a call holds a slot until the first one has ended: the
+duration of a short turn."""
 HOLD_MEAN_WEIGHT = 0.05
-"""Weight of the newest duration in the mean."""
+"""Weight of the latest call in the moving mean of hold times."""
 
 logger = structlog.get_logger(part='desk')
 
 
 def _do_nothing() -> None:
-    """Do nothing for a desk that is served by its owner."""
+    """Ignore waiting calls in a queue that its owner processes itself."""
 
 
 @attrs.define(eq=False)
 class QueuedCall:
-    """A call that wants a slot.
-
-    :param left_ms: time that the caller still waits.
-    :param avoided: servers that failed the call before.
-    :param resolve: called once, with the server, or nothing if refused.
+    """A call that needs a slot.
+
+    :param call: the caller's metadata.
+    :param route: the route that the request matched.
+    :param left_ms: time until the caller's deadline.
+    :param resolve: called once with the granted worker, or with ``None`` if
+        the call is refused.
+    :param avoided: workers that have failed or refused this call.
+    :param arrived_ms: when the call was submitted, set by the queue.
     """
 
     call: calls.Call
@@ -49,14 +57,15 @@
 
     @property
     def max_wait_ms(self) -> float:
-        """How long the call may wait here."""
+        """How long the call may wait in the queue."""
         return min(self.left_ms * MAX_WAIT_RATIO, MAX_WAIT_MS)
 
     def priority_key(self) -> tuple[int, bool, float]:
-        """Return the sort key: rank, then when the program is due.
+        """Return the sort key: rank, then the program's due time.
 
-        Programs that are late already go behind those that may still be in
-        time: in a flood, serving by due time alone makes all of them late.
+        Programs that are already late come after those that can still be in
+        time. Under overload, ordering by due time alone would make all of
+        them late.
         """
         finish_ms = self.call.program_deadline_ms
         due_ms = self.left_ms if finish_ms is None else finish_ms
@@ -64,11 +73,11 @@
 
 
 class CallQueue:
-    """Grant the slots of one service's servers.
+    """Grant the slots of one service's workers to its calls.
 
     :param service: the service's name.
-    :param table: all servers.
-    :param timer: the clock that arrival times refer to.
+    :param table: the workers of all services.
+    :param timer: the clock for arrival and waiting times.
     :param policy: the placement policy.
     :param on_wait: called when a call begins to wait.
     """
@@ -81,7 +90,7 @@
         policy: placements.PlacementPolicy,
         on_wait: Callable[[], None] = _do_nothing,
     ) -> None:
-        """Start with no call waiting."""
+        """Create an empty queue."""
         self.waiting: list[QueuedCall] = []
         self._on_wait = on_wait
         self._service = service
@@ -91,7 +100,7 @@
         self._mean_hold_ms = INITIAL_HOLD_MS
 
     def submit(self, queued: QueuedCall) -> None:
-        """Grant a slot now, let the call wait, or refuse it."""
+        """Grant the call a slot, enqueue it or refuse it."""
         queued.arrived_ms = self._timer.now_ms()
         if not self.waiting and self._try_grant(queued):
             return
@@ -103,26 +112,31 @@
             queued.resolve(None)
 
     def preview(self, queued: QueuedCall) -> str:
-        """Return the server that a call would get now, if any."""
+        """Return the worker that a call would get now, or an empty string."""
         worker = self._choose_worker(queued)
         return worker.instance if worker else ''
 
     def cancel(self, queued: QueuedCall) -> None:
-        """Forget a call whose caller has left."""
+        """Remove a call whose caller no longer waits."""
         if queued in self.waiting:
             self.waiting.remove(queued)
 
     def release(self, worker: workers.Worker, held_ms: float) -> None:
-        """Take a slot back and grant it again.
+        """Release a slot and grant it to the next waiting call.
 
-        :param held_ms: how long it was held.
+        :param worker: the worker that the slot belongs to.
+        :param held_ms: how long the slot was held.
         """
         worker.in_flight -= 1
         self._mean_hold_ms += (held_ms - self._mean_hold_ms) * HOLD_MEAN_WEIGHT
         self.process_waiting()
 
     def process_waiting(self) -> None:
-        """Grant free slots to those who wait; refuse whose time is up."""
+        """Grant free slots to waiting calls.
+
+        An overdue call goes to a worker's own queue if one is short enough,
+        or is refused.
+        """
         for queued in sorted(self.waiting, key=QueuedCall.priority_key):
             waited_ms = self._timer.now_ms() - queued.arrived_ms
             if self._try_grant(queued):
@@ -132,7 +146,11 @@
                 self._overflow_or_refuse(queued)
 
     def expected_wait_ms(self, queued: QueuedCall) -> float:
-        """Return how long a call would wait behind more urgent ones."""
+        """Estimate how long a call waits, in ms.
+
+        Counts the calls with the same or a higher priority in this queue and
+        all that wait for the service at other hosts.
+        """
         ahead = sum(
             other.priority_key() <= queued.priority_key()
             for other in self.waiting
@@ -142,10 +160,10 @@
         return (ahead + 1) * self._mean_hold_ms / max(slots, 1)
 
     def retry_after_ms(self, left_ms: float, jitter: float) -> float:
-        """Return when a refused call should come back.
+        """Return the delay after which a refused call should be retried.
 
-        :param left_ms: time that its caller still waits.
-        :param spread: from 0 to 1; spreads the return of a burst.
+        :param left_ms: time until the caller's deadline.
+        :param jitter: number from 0 to 1 that spreads the retries of a burst.
         """
         waiting = len(self.waiting) + self._table.remote_waiting(self._service)
         backlog_ms = waiting * self._mean_hold_ms
@@ -169,10 +187,11 @@
         return self._assign(queued, self._choose_worker(queued))
 
     def _choose_worker(self, queued: QueuedCall) -> workers.Worker | None:
-        """Return the server for a call, or nothing where all are full.
+        """Return the worker for a call, or ``None`` if all are full.
 
-        A call that may not run twice is no test of a server that has just
-        failed: where it breaks off, nobody knows whether it ran.
+        A call that must not run twice goes to a worker with a recent failure
+        only if there is no other: if the connection broke, it would be
+        unknown whether the call ran.
         """
         now_ms = self._timer.now_ms()
         candidates = self._candidates(queued)
--- a/src/carobfork/gateway/routes.py
+++ b/src/carobfork/gateway/routes.py
@@ -1,4 +1,7 @@
-"""Routes: which service answers a request, and what may be repeated."""
+"""Map requests to services and their backend servers.
+
+A route also says whether its requests may be repeated.
+"""
 
 import bisect
 import enum
@@ -8,11 +11,16 @@
 import attrs
 
 DEFAULT_TIMEOUT_MS = 30_000
-"""For routes without one: the longest silence of an interactive caller."""
+"""Timeout of routes without one of their own: the longest time that an
+interactive caller waits without an answer."""
 
 
 class Kind(enum.StrEnum):
-    """What may be repeated of a route's requests."""
+    """Whether a route's requests may be repeated, and how they are answered.
+
+    ``safe`` requests may run more than once, ``unsafe`` ones at most once. A
+    ``stream`` is answered with events and may be repeated if it is resumable.
+    """
 
     safe = 'safe'
     unsafe = 'unsafe'
@@ -21,7 +29,11 @@
 
 @attrs.frozen
 class Backend:
-    """A service that a route sends a part of its requests to."""
+    """A service that receives a share of a route's requests.
+
+    :param service: the service's name.
+    :param weight: the share relative to the route's other services.
+    """
 
     service: str
     weight: float
@@ -29,13 +41,22 @@
 
 @attrs.frozen
 class Route:
-    """Where requests of one host and path prefix go.
-
-    :param timeout_ms: longest time a request is kept waiting.
-    :param goal_ms: time within which an answer is on time.
-    :param rank: urgency, 0 is the most urgent.
-    :param attempts: most backend servers that may run one request.
-    :param retain_ms: how long turns are kept, where ``is_retained``.
+    """The rule for requests with a given ``Host`` header and path prefix.
+
+    :param name: the route's name in logs.
+    :param host: the host name that requests must have.
+    :param prefix: the prefix that request paths must have.
+    :param kind: whether requests may be repeated.
+    :param backends: the services that share the requests.
+    :param timeout_ms: maximum time until a request is answered.
+    :param target_latency_ms: time within which an answer is on time.
+    :param rank: priority class, 0 first.
+    :param max_attempts: maximum number of backend servers that may run one
+        request.
+    :param is_resumable: whether callers can resume a stream after the last
+        event that they received.
+    :param is_retained: whether turns are stored after they have ended.
+    :param retain_ms: how long turns are stored if ``is_retained``.
     """
 
     name: str
@@ -59,7 +80,7 @@
         return self.kind == Kind.safe
 
     def choose_service(self) -> str:
-        """Return one of the services, by weight."""
+        """Return the name of a service drawn at random by weight."""
         if len(self.backends) == 1:
             return self.backends[0].service
         weights = [backend.weight for backend in self.backends]
@@ -68,10 +89,17 @@
 
 @attrs.frozen
 class Service:
-    """Backend servers of one kind.
-
-    :param slots: calls that one server runs at a time, 0 where not told.
-    :param event_tokens: tokens that one event of a stream counts for.
+    """A group of interchangeable backend servers.
+
+    :param name: the service's name.
+    :param health_path: path of the health check, if there is one.
+    :param max_connections: maximum number of connections, or 0 if unknown.
+    :param slots: number of calls that one server runs at a time, or 0 if
+        unknown.
+    :param cache_tokens: capacity of one server's prompt cache, or 0 if
+        unknown.
+    :param event_tokens: number of tokens charged for one event of a stream.
+    :param is_engine: whether the servers are model engines.
     """
 
     name: str
@@ -85,7 +113,13 @@
 
 @attrs.frozen
 class CallerLimits:
-    """What callers may send, and how long they may take."""
+    """Limits of requests and connections of callers.
+
+    :param head_bytes: maximum size of a request head.
+    :param body_bytes: maximum size of a request body.
+    :param head_ms: maximum time to send a head.
+    :param idle_ms: how long an idle connection is kept open.
+    """
 
     head_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -94,7 +128,13 @@
 
 
 class RouteTable:
-    """The routes and services of one version of the configuration."""
+    """The routes and services of one version of the configuration.
+
+    :param version: the version.
+    :param routes: the routes.
+    :param services: the services by name.
+    :param limits: what callers may send.
+    """
 
     def __init__(
         self,
@@ -103,7 +143,7 @@
         services: Mapping[str, Service],
         limits: CallerLimits,
     ) -> None:
-        """Index the routes by host."""
+        """Index the routes by host name."""
         self.version = version
         self.services = services
         self.limits = limits
@@ -117,7 +157,11 @@
             )
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix, if any."""
+        """Return the route with the longest matching prefix, if any.
+
+        :param host: the ``Host`` header, with or without a port.
+        :param path: the path of the request.
+        """
         name = host.partition(':')[0].lower()
         for route in self._by_host.get(name, ()):
             if path.startswith(route.prefix):
--- a/src/carobfork/gateway/turns.py
+++ b/src/carobfork/gateway/turns.py
@@ -1,4 +1,7 @@
-"""Turns: budget and history of a program's calls, before and after a run."""
+"""Reserve budget and load history for turns, and store them when they end.
+
+A turn is one exchange of a conversation with a backend server.
+"""
 
 from collections.abc import Mapping
 from typing import Protocol
@@ -15,29 +18,34 @@
 
 
 class TurnStore(Protocol):
-    """Where turns and charges are kept."""
+    """Storage of turns and charges."""
 
     def begin(self, message: messages.Begin) -> messages.Begun:
-        """Reserve tokens and read a program's state."""
+        """Reserve tokens and return the program's state."""
 
     def finish(self, message: messages.Finish) -> None:
-        """Keep a turn and settle its attempt."""
+        """Store a turn and settle the charge of its attempt."""
 
     def settle(self, message: messages.Finish) -> None:
-        """Settle an attempt, trying a few times."""
+        """Settle the charge of an attempt; retry a few times."""
 
     def place(self, attempt: str, worker: str) -> None:
-        """Tell on which server a turn runs."""
+        """Report the worker that a turn runs on."""
 
 
 @attrs.define(eq=False)
 class Turn:
-    """A turn that may run.
-
-    :param worker: the server that it was announced for.
-    :param history: the chain's bytes, which go before the new input.
-    :param open_turns: turns of all hosts by server, its own included, where
-        store hosts told of them.
+    """A turn for which tokens are reserved, if it has a budget.
+
+    :param call: the caller's metadata.
+    :param route: the route that the request matched.
+    :param event_tokens: number of tokens charged for one event.
+    :param request: body of the caller's request.
+    :param worker: the worker that was reported to the store hosts.
+    :param history: the bytes of the previous turns, sent before the new input.
+    :param open_turns: open turns of all hosts by worker, including this one,
+        if the store hosts returned them.
+    :param is_open: whether the turn has not been stored or settled.
     """
 
     call: calls.Call
@@ -51,13 +59,17 @@
 
     @property
     def is_charged(self) -> bool:
-        """Whether the turn counts in a budget."""
+        """Whether the turn is charged to a budget."""
         return bool(self.call.program) and self.call.budget_tokens is not None
 
     def make_charge(
         self, tokens: int, is_settled: bool
     ) -> messages.Charge | None:
-        """Return what the turn counts for."""
+        """Return the charge for the turn, or ``None`` if it has no budget.
+
+        :param tokens: tokens generated, or reserved if not settled.
+        :param is_settled: whether the attempt has ended.
+        """
         if not self.is_charged:
             return None
         return messages.Charge(
@@ -70,13 +82,13 @@
 
 
 class TurnManager:
-    """Open and close turns.
+    """Open, store and close turns.
 
-    :param records: where they are kept.
+    :param records: storage of turns and charges.
     """
 
     def __init__(self, records: TurnStore) -> None:
-        """Keep the records' client."""
+        """Create a manager for a store."""
         self._store = records
 
     def open(
@@ -87,13 +99,16 @@
         request: bytes,
         worker: str = '',
     ) -> Turn:
-        """Reserve a turn's tokens and read its history.
-
-        :param worker: the server that it will probably run on.
-
-        :raises BudgetExceededError: the budget does not cover it.
-        :raises UnknownProgramError: the turn before does not exist.
-        :raises NotRunError: the records can't be reached.
+        """Reserve the turn's tokens and read its history.
+
+        :param call: the caller's metadata.
+        :param route: the route that the request matched.
+        :param event_tokens: number of tokens charged for one event.
+        :param request: body of the caller's request.
+        :param worker: the worker that the turn will probably run on.
+        :raises BudgetExceededError: if the budget does not cover the turn.
+        :raises UnknownProgramError: if the previous turn does not exist.
+        :raises NotRunError: if the store can't be reached.
         """
         turn = Turn(call, route, event_tokens, request, worker)
         previous = call.previous_turn if route.is_retained else ''
@@ -105,23 +120,26 @@
         if not budgets.covers(call, begun.charges):
             self.close(turn, 0)
             raise exceptions.BudgetExceededError(
-                f'{len(begun.charges)} attempts have used the budget of'
-                f' {call.budget_tokens} tokens',
+                f'the budget of {call.budget_tokens} tokens does not cover'
+                f' {call.output_tokens} more; {len(begun.charges)} attempts'
+                ' are charged',
                 step='budget',
                 peer=call.program,
             )
         return turn
 
     def update_worker(self, turn: Turn, worker: str) -> None:
-        """Tell other hosts where a turn runs, unless that was announced."""
+        """Report the worker of a turn to other hosts if it has changed."""
         if turn.is_charged and worker != turn.worker:
             turn.worker = worker
             self._store.place(turn.call.attempt, worker)
 
     def store(self, turn: Turn, event_log: events.EventLog) -> None:
-        """Keep a turn that ended whole, before its caller learns of it.
+        """Store a complete turn before its caller gets the end of the answer.
 
-        :raises NotRunError: too few store hosts have it.
+        :param turn: the turn.
+        :param event_log: the events that the caller received.
+        :raises NotRunError: if too few store hosts have confirmed the turn.
         """
         if turn.route.is_retained:
             record = messages.Turn(
@@ -140,9 +158,10 @@
             turn.is_open = False
 
     def close(self, turn: Turn, event_count: int) -> None:
-        """Settle what a turn used; its caller doesn't wait for that.
+        """Settle the charge of a turn in the background.
 
-        :param count: events that the caller was given.
+        :param turn: the turn.
+        :param event_count: number of events that the caller received.
         """
         charge = turn.make_charge(
             event_count * turn.event_tokens, is_settled=True
@@ -159,6 +178,6 @@
         try:
             return self._store.begin(message)
         except exceptions.CarobforkError:
-            # The reservation may stand on some hosts.
+            # Some store hosts may have recorded the reservation.
             self.close(turn, 0)
             raise
