--- a/src/carobfork/gateway/exchanges.py
+++ b/src/carobfork/gateway/exchanges.py
@@ -1,4 +1,4 @@
-"""Exchanges: one request sent once to one backend server, and its answer.
+"""Send one request to one backend server and relay the answer.
 
 Answers are matched to requests by the attempt that the server echoes, never
 by their order on a connection.
@@ -24,33 +24,35 @@
 )
 
 MAX_STRAY_ANSWERS = 2
-"""Late answers to other requests that are skipped on one connection."""
+"""Maximum number of late answers to other requests that are skipped while one
+answer is awaited."""
 MAX_ANSWER_BYTES = 1_048_576
-"""Answers up to this size are read whole before they are passed on."""
+"""Maximum size of an answer that is read completely before it is passed on."""
 MAX_BLOCKING_SEND_BYTES = 16_384
-"""Longer bodies are sent while the answer is awaited: it may come early."""
+"""Longer requests are sent in the background, because the answer may arrive
+before the request is complete."""
 MIN_LEFT_MS = 15
-"""With less time left no server can answer."""
+"""Minimum time left to send a request: no backend server can answer in less."""
 _STEP = 'relay'
 _REDIRECT_STATUS = 300
 _SERVER_ERROR_STATUS = 500
 _NOT_RUN_STATUSES = frozenset((402, 408, 421, 429, 503))
-"""Statuses that promise that a call has not run."""
+"""HTTP statuses by which callers conclude that a call has not run."""
 
 logger = structlog.get_logger(part='exchange')
 
 
 class ServerRefusedError(exceptions.NotRunError):
-    """The backend server said that it did not run the call."""
+    """The backend server declared that it did not run the call."""
 
     code = 'server_refused'
 
 
 class Codec(Protocol):
-    """Translate headers."""
+    """Translate heads to and from call metadata."""
 
     def decode_call(self, head: framing.Head) -> calls.Call:
-        """Return what a request says about itself."""
+        """Return the call that a request head describes."""
 
     def encode_request(
         self,
@@ -60,21 +62,32 @@
         body_bytes: int,
         last_event: str,
     ) -> bytes:
-        """Return the head that the backend server gets."""
+        """Return the encoded head for a backend server.
+
+        :param head: the caller's head.
+        :param instance: the backend server's identifier.
+        :param left_ms: time until the caller's deadline.
+        :param body_bytes: length of the body.
+        :param last_event: identifier of the last event that the caller
+            received, or empty.
+        """
 
     def decode_answer(self, head: framing.Head) -> calls.ServerAnswer:
-        """Return what a response says about itself."""
+        """Return the metadata of a response head."""
 
 
 class ResponseWriter(Protocol):
-    """The caller's end of a request."""
+    """Write the response to a caller.
+
+    ``has_begun`` is true once the head of the response is sent.
+    """
 
     has_begun: bool
 
     def respond(
         self, status: int, fields: list[tuple[str, str]], body: bytes
     ) -> None:
-        """Send a whole response."""
+        """Send a complete response."""
 
     def begin(self, status: int, fields: list[tuple[str, str]]) -> None:
         """Prepare the head of a response of unknown length."""
@@ -88,7 +101,12 @@
 
 @attrs.frozen
 class Request:
-    """A request that was read whole."""
+    """A completely received request.
+
+    :param head: its head.
+    :param body: its body.
+    :param arrived_ms: when it arrived.
+    """
 
     head: framing.Head
     body: bytes
@@ -97,17 +115,24 @@
 
 @attrs.define(eq=False)
 class RequestContext:
-    """One request on its way.
-
-    :param until_ms: when its time is up.
-    :param log: the events that the caller was given.
-    :param body: what the backend server gets.
-    :param is_sent: whether a server may be at work on it.
-    :param runs: sends that broke off.
-    :param refusals: servers that did not run it.
-    :param was_kept: whether the last exchange that broke off was on a kept
-        connection.
-    :param failure: why the caller got no server's answer, if it got none.
+    """The state of a request while it is handled.
+
+    :param request: the request as received.
+    :param call: the call that it describes.
+    :param route: the route that it matched.
+    :param service: the service that runs it.
+    :param deadline_at_ms: when the deadline expires.
+    :param event_log: the events that the caller received.
+    :param body: the body that backend servers get.
+    :param turn: the turn, if it is part of a program's conversation.
+    :param is_sent: whether a backend server may have run the call.
+    :param failed_attempts: attempts that failed after the request was sent.
+    :param refusals: number of workers that refused it or were unreachable.
+    :param avoided: workers that have failed or refused it.
+    :param worker: the worker of the latest attempt.
+    :param queued_ms: total time that it has waited for slots.
+    :param was_reused: whether the last failed attempt used a kept connection.
+    :param failure: the error that the caller gets, if there is one.
     """
 
     request: Request
@@ -128,7 +153,7 @@
     failure: exceptions.CarobforkError | None = None
 
     def can_retry(self) -> bool:
-        """Tell whether it may be sent again after a run that failed."""
+        """Return whether it may be sent again after a failed attempt."""
         return (
             self.route.is_repeatable
             and self.failed_attempts + 1 < self.route.max_attempts
@@ -137,7 +162,12 @@
 
 @attrs.frozen
 class _Answer:
-    """A response's head and what follows from it."""
+    """A response head.
+
+    :param head: the head as received.
+    :param told: the metadata that it carries.
+    :param shape: the framing of the body.
+    """
 
     head: framing.Head
     told: calls.ServerAnswer
@@ -145,22 +175,22 @@
 
     @property
     def keeps_open(self) -> bool:
-        """Whether the connection can be used again."""
+        """Whether the connection can be reused after the body."""
         return self.head.keeps_open and not self.shape.ends_with_connection
 
 
 class Exchanger:
-    """Send requests to backend servers and pass their answers on.
+    """Send requests to backend servers and relay their answers.
 
-    :param codec: translates headers.
-    :param turn_desk: keeps the turns that ended whole.
-    :param timer: measures spans.
+    :param codec: translates heads to and from call metadata.
+    :param turn_manager: stores complete turns.
+    :param timer: the clock for deadlines and durations.
     """
 
     def __init__(
         self, codec: Codec, turn_manager: turns.TurnManager, timer: clock.Clock
     ) -> None:
-        """Start without connections."""
+        """Create an exchanger with an empty connection pool."""
         self.pool = connection_pools.ConnectionPool(timer)
         self._codec = codec
         self._turns = turn_manager
@@ -172,11 +202,14 @@
         worker: workers.Worker,
         response: ResponseWriter,
     ) -> None:
-        """Send a request once and pass its answer on.
-
-        :raises ServerRefusedError: the server did not run it.
-        :raises ConnectionFailedError: the exchange broke off; the caller
-            has nothing but whole events.
+        """Send a request once and relay the answer.
+
+        :param context: the request.
+        :param worker: the backend server to send it to.
+        :param response: the writer of the caller's response.
+        :raises ServerRefusedError: if the server did not run the call.
+        :raises ConnectionFailedError: if the exchange failed. The caller has
+            then received at most complete events.
         """
         started_ms = self._timer.now_ms()
         connection = self.pool.acquire(
@@ -213,7 +246,9 @@
         left_ms = context.deadline_at_ms - self._timer.now_ms()
         if left_ms < MIN_LEFT_MS:
             raise exceptions.ConnectionFailedError(
-                'too little time left', sent=False, step=_STEP
+                f'{left_ms:.0f} ms left, {MIN_LEFT_MS} ms needed',
+                sent=False,
+                step=_STEP,
             )
         head = self._codec.encode_request(
             context.request.head,
@@ -247,7 +282,7 @@
         if answer.told.is_elsewhere:
             worker.record_failure(self._timer.now_ms())
         raise ServerRefusedError(
-            f'the server answered {answer.told.status}, not run',
+            f'the server refused the call with status {answer.told.status}',
             step=_STEP,
             peer=worker.instance,
         )
@@ -255,7 +290,7 @@
     def _read_matching_answer(
         self, context: RequestContext, connection: connection_pools.Connection
     ) -> _Answer:
-        """Return the answer to this request, skipping late ones."""
+        """Return the answer to this request; skip late answers to others."""
         for _ in range(MAX_STRAY_ANSWERS + 1):
             answer = self._read_answer(context, connection)
             if answer.told.is_for(context.call.attempt):
@@ -267,20 +302,25 @@
                 worker=context.worker,
             )
             if not answer.told.attempt:
-                # It answers nobody; waiting for another would be vain.
+                # It names no attempt, so it is not a late answer and no other
+                # answer will follow.
                 break
             connection.reader.read_body(answer.shape, MAX_ANSWER_BYTES)
-        raise framing.FramingError('no answer to the request', step=_STEP)
+        raise framing.FramingError(
+            f'no answer to attempt {context.call.attempt!r}', step=_STEP
+        )
 
     def _read_answer(
         self, context: RequestContext, connection: connection_pools.Connection
     ) -> _Answer:
         head = connection.reader.read_head(framing.MAX_HEAD_BYTES)
         if head is None:
-            raise EOFError('the server closed the connection')
+            raise EOFError('the server closed the connection before its answer')
         decoded = self._codec.decode_answer(head)
         if decoded.is_encoded:
-            raise framing.FramingError('the body is encoded', step=_STEP)
+            raise framing.FramingError(
+                'the answer has a content encoding', step=_STEP
+            )
         shape = framing.response_shape(head, context.request.head.first[0])
         return _Answer(head, decoded, shape)
 
@@ -301,14 +341,14 @@
             return
         with _raise_as_failure(worker.instance):
             body = connection.reader.read_body(answer.shape, MAX_ANSWER_BYTES)
-        # Without the server's word that it did not run the call, some
-        # statuses would promise too much.
+        # Some statuses tell the caller that the call did not run. They are
+        # not passed on unless the server has declared that.
         is_unusable = status in _NOT_RUN_STATUSES or response.has_begun
         if is_unusable or (
             status >= _SERVER_ERROR_STATUS and context.can_retry()
         ):
             raise exceptions.ConnectionFailedError(
-                f'the server answered {status}',
+                f'the server answered with status {status}',
                 sent=True,
                 step=_STEP,
                 peer=worker.instance,
@@ -343,7 +383,10 @@
     received: list[events.Event],
     worker: workers.Worker,
 ) -> bytes:
-    """Return the bytes of the events that are new to the caller."""
+    """Return the bytes of the events that are new to the caller.
+
+    :raises ConnectionFailedError: if an event is missing in the stream.
+    """
     try:
         return b''.join(
             event.raw for event in received if context.event_log.accept(event)
@@ -356,7 +399,7 @@
 
 @contextlib.contextmanager
 def _raise_as_failure(peer: str) -> Iterator[None]:
-    """Report a broken exchange as one that may have run."""
+    """Convert errors of an exchange to failures of a call that may have run."""
     try:
         yield
     except exceptions.ConnectionFailedError:
@@ -369,12 +412,17 @@
 
 @contextlib.contextmanager
 def _raise_as_refusal(peer: str) -> Iterator[None]:
-    """Report a refusal whose body broke off: the head has said it."""
+    """Convert errors while a refusal's body is read to the refusal itself.
+
+    The head has already declared that the call did not run.
+    """
     try:
         yield
     except (OSError, EOFError, exceptions.BadRequestError) as error:
         raise ServerRefusedError(
-            f'not run, then {error}', step=_STEP, peer=peer
+            f'the server refused the call, then failed: {error}',
+            step=_STEP,
+            peer=peer,
         ) from error
 
 
@@ -382,10 +430,10 @@
 def _sending(
     connection: connection_pools.Connection, payload: bytes
 ) -> Iterator[None]:
-    """Send a request; a long one while the answer is awaited.
+    """Send a request, a long one in the background.
 
-    The connection is spoilt where the answer comes before the request was
-    sent: the server may go on to read it.
+    If the answer arrives before the request is complete, the connection can't
+    be reused: the server may still wait for the rest of the request.
     """
     if len(payload) <= MAX_BLOCKING_SEND_BYTES:
         connection.sock.sendall(payload)
@@ -404,5 +452,5 @@
     try:
         send(payload)
     except OSError as error:
-        # The reader of the answer meets the same failure and reports it.
+        # Reading the answer fails for the same reason and reports it.
         logger.debug('request not sent whole', reason=str(error))
--- a/src/carobfork/gateway/relays.py
+++ b/src/carobfork/gateway/relays.py
@@ -1,7 +1,7 @@
-"""Relays: a caller's request on its way to backend servers.
+"""Forward callers' requests to backend servers.
 
-A request that may not run twice is sent once, unless the server says that
-it did not run it.
+A request that must not run twice is sent again only if the backend server
+declares that it did not run it, or if nothing was sent.
 """
 
 import gevent
@@ -19,44 +19,46 @@
 )
 
 STARTUP_TIMEOUT_MS = 800
-"""After its start a host is told the configuration within this time."""
+"""How long a request waits for the first configuration: a host gets it within
+this time after its start."""
 STARTUP_POLL_INTERVAL_MS = 20
 STARTUP_RETRY_AFTER_MS = 300
-"""For callers of a host that waits for its first configuration."""
+"""Retry delay for callers of a host that has no configuration in time."""
 MAX_REFUSALS = 4
-"""Servers that may say 'not run', or be out of reach, for one request."""
+"""Maximum number of backend servers that refuse a request or can't be reached
+before the request is refused."""
 
 logger = structlog.get_logger(part='relay')
 
 
 class NotFoundError(exceptions.BadRequestError):
-    """No route leads there."""
+    """No route matches the request."""
 
     code = 'no_route'
     http_status = 404
 
 
 class BrokenAnswerError(exceptions.UnknownOutcomeError):
-    """The backend server broke off; the call may have run."""
+    """The backend server gave no usable answer; the call may have run."""
 
     code = 'broken_answer'
     http_status = 502
 
 
 class DeadlineError(exceptions.UnknownOutcomeError):
-    """The time was up while the backend server was at work."""
+    """The deadline expired after the call was sent; it may have run."""
 
     code = 'deadline'
 
 
 class Relay:
-    """Forward requests.
+    """Forward requests to backend servers and retry where that is safe.
 
-    :param codec: translates headers.
-    :param table: the backend servers.
-    :param turn_desk: budgets and histories.
-    :param timer: measures spans.
-    :param policy: name of the placement policy.
+    :param codec: translates heads to and from call metadata.
+    :param table: the known backend servers.
+    :param turn_manager: manages the budgets and histories of turns.
+    :param timer: the clock for deadlines and durations.
+    :param policy: registered name of the placement policy.
     """
 
     def __init__(
@@ -67,7 +69,7 @@
         timer: clock.Clock,
         policy: str = 'home',
     ) -> None:
-        """Start without a configuration."""
+        """Create a relay without a configuration."""
         self.routes: routes.RouteTable | None = None
         self.exchanger = exchanges.Exchanger(codec, turn_manager, timer)
         self._codec = codec
@@ -82,9 +84,11 @@
     def handle(
         self, request: exchanges.Request, response: exchanges.ResponseWriter
     ) -> None:
-        """Answer a request.
+        """Forward a request and send the answer to the caller.
 
-        :raises CarobforkError: there is no answer of a backend server.
+        :param request: the request.
+        :param response: the writer of the caller's response.
+        :raises CarobforkError: if no backend server has given a usable answer.
         """
         context = self._prepare(request)
         left_ms = context.deadline_at_ms - self._timer.now_ms()
@@ -109,7 +113,8 @@
         route = self.routes.match(head.get('host'), head.first[1])
         if route is None:
             raise NotFoundError(
-                f'no route in version {self.routes.version}', step='route'
+                f'no route matches in configuration {self.routes.version}',
+                step='route',
             )
         call = self._codec.decode_call(head)
         wait_ms = route.timeout_ms
@@ -126,16 +131,18 @@
         )
 
     def _wait_for_routes(self) -> None:
-        """Wait for the first configuration, if this host has just started.
+        """Wait for the first configuration if this host has just started.
 
-        Its callers have lost one host already: a refusal would cost them
-        their next attempt, too.
+        Callers that connect to a new host have often just lost another one. A
+        refusal would use up their next attempt, too.
+
+        :raises NotRunError: if there is no configuration in time.
         """
         until_ms = self._started_ms + STARTUP_TIMEOUT_MS
         while self.routes is None:
             if self._timer.now_ms() > until_ms:
                 raise exceptions.NotRunError(
-                    'no configuration yet',
+                    f'no configuration within {STARTUP_TIMEOUT_MS} ms',
                     step='route',
                     retry_after_ms=STARTUP_RETRY_AFTER_MS,
                 )
@@ -160,7 +167,7 @@
             )
 
     def _open_turn(self, context: exchanges.RequestContext) -> None:
-        """Reserve a turn and learn of the turns of other hosts."""
+        """Reserve a turn and apply the count of other hosts' turns."""
         service = self.routes.services.get(context.service)
         context.turn = self._turns.open(
             context.call,
@@ -205,7 +212,7 @@
         context: exchanges.RequestContext,
         response: exchanges.ResponseWriter,
     ) -> bool:
-        """Send the request to one server; tell whether it was answered."""
+        """Send the request to one worker; return whether it was answered."""
         with self.admission.slot(context) as worker:
             context.worker = worker.instance
             if context.turn is not None:
@@ -237,7 +244,12 @@
         context: exchanges.RequestContext,
         error: exceptions.ConnectionFailedError,
     ) -> None:
-        """Count a run that broke off; go on only where that is allowed."""
+        """Count a failed attempt.
+
+        :raises OverloadedError: if nothing was sent and too many workers have
+            refused the request or could not be reached.
+        :raises BrokenAnswerError: if the request was sent and can't be retried.
+        """
         if not error.sent:
             self._count_refusal(context, error)
             return
@@ -254,6 +266,10 @@
 ) -> exceptions.CarobforkError:
     if context.is_sent:
         return DeadlineError(
-            'the time was up', step='relay', peer=context.worker
+            'the deadline expired after the call was sent',
+            step='relay',
+            peer=context.worker,
         )
-    return exceptions.NotRunError('the time was up', step='wait')
+    return exceptions.NotRunError(
+        'the deadline expired before the call ran', step='wait'
+    )
--- a/src/carobfork/gateway/workers.py
+++ b/src/carobfork/gateway/workers.py
@@ -1,7 +1,7 @@
-"""Workers: backend servers as registered, and what is seen of them.
+"""Track the backend servers (workers) that calls are scheduled on.
 
-Two sources are combined: the registry, which lags and forgets servers during
-an outage of the platform's store, and what the servers' answers show.
+Two sources are combined: the platform's registry, which lags behind and loses
+entries during an outage of the platform's store, and the results of calls.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -12,40 +12,55 @@
 from carobfork import clock
 
 NEVER_MS = float('-inf')
-"""Before all times."""
+"""Time of an event that has not happened; earlier than any other time."""
 UNLISTED_TTL_MS = 1500
-"""How long unregistered servers may serve where no other is left.
+"""How long a worker without an entry may get calls if no other is left.
 
-Below the time that a server goes on serving after its entry is gone.
+Shorter than the time that a backend server continues to serve after its entry
+is removed.
 """
 RELISTING_TIMEOUT_MS = 2500
-"""Entries that lapsed in an outage are back about 2 s after its end."""
+"""How long after an outage workers without an entry may get calls and are kept:
+entries that expired during it are registered again about 2 s after its end."""
 MIN_AVOID_MS = 250
+"""How long a worker is avoided after its first failure."""
 MAX_AVOID_MS = 4000
-"""A failing server is tried again within a few seconds: it may be back."""
+"""Upper bound after repeated failures, so that a worker that has recovered gets
+calls again within a few seconds."""
 REMOTE_LOAD_TTL_MS = 1200
-"""Sums of all hosts' calls are older than a few beats after this."""
+"""How long the load reports of other hosts are used: a few heartbeats."""
 MIN_SUSPECTING_HOSTS = 2
-"""Other hosts that must suspect a server: one alone may be cut off from it."""
+"""Number of other hosts that must suspect a worker before it is avoided: a
+single host may itself be cut off from the worker."""
 OWN_SUCCESS_TTL_MS = 500
-"""A call that a server has just served says more than what others suspect."""
+"""How long a successful call of this host outweighs the suspicion of others."""
 RECENT_FAILURE_MS = 5000
-"""After a failure, seen here or by any other host: servers that go down and
-up by turns fail again within a few seconds."""
+"""How long a failure counts as recent, whether this or another host met it:
+workers that crash repeatedly fail again within a few seconds."""
 OPEN_TURNS_TTL_MS = 250
-"""A count of open turns stands against sums that are older than a beat."""
+"""How long a count of open turns takes precedence over load reports, which may
+be older than one heartbeat."""
 _MAX_DOUBLINGS = 5
+"""Bounds the exponent; ``MAX_AVOID_MS`` is reached earlier."""
 DURATION_MEAN_WEIGHT = 0.1
-"""Weight of the newest duration in the mean of a server's calls."""
+"""Weight of the latest call in the moving mean of a worker's durations."""
 
 logger = structlog.get_logger(part='workers')
 
 
 @attrs.frozen
 class Entry:
-    """A backend server as it registered itself.
-
-    :param started_ms: Unix time of its start; a restart forgets all.
+    """A backend server's entry in the registry.
+
+    :param instance: the server's identifier.
+    :param service: the service that it belongs to.
+    :param ip: its IP address.
+    :param port: its port.
+    :param failure_domain: the failure domain that it runs in.
+    :param slots: number of calls that it runs at a time.
+    :param is_draining: whether it accepts no new calls.
+    :param started_ms: Unix time of the process's start. A different value
+        means a new process, so all observations are reset.
     """
 
     instance: str
@@ -60,18 +75,24 @@
 
 @attrs.define(eq=False)
 class Worker:
-    """A backend server and what is seen of it.
-
-    :param in_flight: calls of this host.
-    :param elsewhere: calls of other hosts, as last told.
-    :param removed_ms: when its entry vanished, if it did.
-    :param is_near: whether it is in the preferred failure domain.
-    :param kept_ms: when a connection to it was last kept.
-    :param counted_ms: when its open turns were last counted.
-    :param served_ms: when it last served a call of this host.
-    :param suspected_ms: when enough other hosts last suspected it.
-    :param doubted_ms: when it last failed a call of this host, or was
-        suspected by any other.
+    """A backend server and this host's observations of it.
+
+    :param entry: its current entry, or the last one if that was removed.
+    :param in_flight: number of calls of this host that it runs.
+    :param remote_in_flight: number of calls of other hosts, as last reported.
+    :param remote_updated_ms: when ``remote_in_flight`` was last updated.
+    :param consecutive_failures: failed calls since the last success.
+    :param avoided_until_ms: time until which failures keep new calls away.
+    :param unlisted_since_ms: when its entry was removed, or ``None``.
+    :param idle_connections: number of idle connections kept to it.
+    :param last_kept_ms: when a connection was last kept for reuse.
+    :param open_turns_updated_ms: when its open turns were last counted.
+    :param last_success_ms: when it last served a call of this host.
+    :param last_suspected_ms: when enough other hosts last suspected it.
+    :param last_failure_ms: when it last failed a call of this host or any
+        other host suspected it.
+    :param mean_duration_ms: moving mean of the durations of its calls.
+    :param is_local: whether it is in the preferred failure domain.
     """
 
     entry: Entry
@@ -96,18 +117,25 @@
         return self.entry.instance
 
     def load(self, now_ms: float) -> int:
-        """Return the calls that it is believed to have."""
+        """Return the estimated number of calls that it runs."""
         if now_ms - self.remote_updated_ms > REMOTE_LOAD_TTL_MS:
             return self.in_flight
         return self.in_flight + self.remote_in_flight
 
     def update_load(self, total_calls: int, now_ms: float) -> None:
-        """Take the number of calls that the server tells itself."""
+        """Apply a total from the backend server or the store hosts.
+
+        :param total_calls: calls of all hosts, including this one.
+        :param now_ms: the current time.
+        """
         self.remote_in_flight = max(0, total_calls - self.in_flight)
         self.remote_updated_ms = now_ms
 
     def is_avoided(self, now_ms: float) -> bool:
-        """Tell whether it has failed calls of this host or of others."""
+        """Return whether failures keep new calls away.
+
+        The failures may be of calls of this host or of several others.
+        """
         if self.avoided_until_ms > now_ms:
             return True
         is_suspected = now_ms - self.last_suspected_ms < REMOTE_LOAD_TTL_MS
@@ -116,11 +144,15 @@
         )
 
     def has_recent_failure(self, now_ms: float) -> bool:
-        """Tell whether calls that run at most once should go elsewhere."""
+        """Return whether calls that run at most once should avoid it."""
         return now_ms - self.last_failure_ms < RECENT_FAILURE_MS
 
     def record_success(self, duration_ms: float, now_ms: float) -> None:
-        """Count a call that was served."""
+        """Record a successful call and reset the failure count.
+
+        :param duration_ms: duration of the call.
+        :param now_ms: the current time.
+        """
         self.last_success_ms = now_ms
         self.consecutive_failures = 0
         if self.mean_duration_ms:
@@ -132,7 +164,7 @@
             self.mean_duration_ms = duration_ms
 
     def record_failure(self, now_ms: float) -> None:
-        """Keep new calls away for a while, longer each time."""
+        """Record a failed call; avoid the worker for a doubling interval."""
         doublings = min(self.consecutive_failures, _MAX_DOUBLINGS)
         pause_ms = min(MIN_AVOID_MS * 2**doublings, MAX_AVOID_MS)
         self.consecutive_failures += 1
@@ -147,13 +179,13 @@
 
 
 class WorkerTable:
-    """All backend servers that may serve.
+    """The known workers of all services.
 
-    :param timer: measures ages.
+    :param timer: the clock for ages of entries, reports and failures.
     """
 
     def __init__(self, timer: clock.Clock) -> None:
-        """Start without servers."""
+        """Create an empty table."""
         self.is_loaded = False
         self._timer = timer
         self._workers: dict[str, Worker] = {}
@@ -163,24 +195,26 @@
         self._failure_domain = ''
 
     def __iter__(self) -> Iterator[Worker]:
-        """Iterate over all servers, also those whose entry is gone."""
+        """Iterate over all workers, including those without an entry."""
         return iter(self._workers.values())
 
     def get(self, instance: str) -> Worker | None:
-        """Return a server, if it is known."""
+        """Return a worker, or ``None`` if it is unknown."""
         return self._workers.get(instance)
 
     def prefer_failure_domain(self, failure_domain: str) -> None:
-        """Prefer the servers of a failure domain, or of none."""
+        """Prefer the workers of a failure domain, or none if it is empty."""
         if failure_domain != self._failure_domain:
             self._failure_domain = failure_domain
             for worker in self._workers.values():
                 worker.is_local = worker.entry.failure_domain == failure_domain
 
     def apply(self, entries: Iterable[Entry], was_unreachable: bool) -> None:
-        """Take over the registry's entries.
+        """Apply a complete listing of the registry.
 
-        :param was_away: whether the registry was out of reach before.
+        :param entries: all entries.
+        :param was_unreachable: whether the registry was unreachable before
+            this listing.
         """
         now_ms = self._timer.now_ms()
         if was_unreachable and self.is_loaded:
@@ -196,13 +230,13 @@
     def update_open_turns(
         self, open_turns: Mapping[str, int], announced_worker: str
     ) -> None:
-        """Take the turns of all hosts as store hosts know them now.
+        """Apply the store hosts' current count of open turns.
 
-        Servers that run anything else are not judged by them.
+        Workers that have never run a counted turn keep their load figures.
 
-        :param open_turns: turns by server, those of this host included.
-        :param announced: the server of a turn of this host that is counted
-            and has no slot yet.
+        :param open_turns: open turns of all hosts by worker.
+        :param announced_worker: the worker of a turn of this host that is
+            counted but has no slot yet.
         """
         now_ms = self._timer.now_ms()
         for worker in self._workers.values():
@@ -215,35 +249,44 @@
     def update_remote_load(
         self, in_flight: Mapping[str, int], waiting: Mapping[str, int]
     ) -> None:
-        """Take the sums of all other hosts' calls.
+        """Apply the load report of all other hosts.
 
-        :param in_flight: calls by server.
-        :param waiting: calls that wait for a slot, by service.
+        :param in_flight: number of running calls by worker.
+        :param waiting: number of calls that wait for a slot, by service.
         """
         now_ms = self._timer.now_ms()
         self._remote_updated_ms = now_ms
         self._remote_waiting = waiting
         for worker in self._workers.values():
-            # Sums are older than counts of open turns.
+            # Load reports are older than counts of open turns.
             if now_ms - worker.open_turns_updated_ms > OPEN_TURNS_TTL_MS:
                 worker.remote_in_flight = in_flight.get(worker.instance, 0)
                 worker.remote_updated_ms = now_ms
 
     @property
     def has_remote_waiting(self) -> bool:
-        """Whether calls of any service wait at other hosts."""
+        """Whether calls wait at other hosts, by the last load report."""
         return any(
             self.remote_waiting(service) for service in self._remote_waiting
         )
 
     def remote_waiting(self, service: str) -> int:
-        """Return the calls that wait at other hosts, as last told."""
+        """Return the number of waiting calls at other hosts.
+
+        Return 0 if the last load report is too old.
+
+        :param service: the service that the calls are for.
+        """
         if self._timer.now_ms() - self._remote_updated_ms > REMOTE_LOAD_TTL_MS:
             return 0
         return self._remote_waiting.get(service, 0)
 
     def update_suspects(self, suspects: Mapping[str, int]) -> None:
-        """Take how many other hosts each server has failed."""
+        """Apply the suspicions of other hosts.
+
+        :param suspects: number of other hosts that suspect a worker, by its
+            identifier.
+        """
         now_ms = self._timer.now_ms()
         for worker in self._workers.values():
             count = suspects.get(worker.instance, 0)
@@ -253,7 +296,7 @@
                 worker.last_failure_ms = now_ms
 
     def suspects(self) -> list[str]:
-        """Return the servers that have just failed calls of this host."""
+        """Return the workers that are avoided for failed calls of this host."""
         now_ms = self._timer.now_ms()
         return [
             worker.instance
@@ -262,7 +305,7 @@
         ]
 
     def in_flight(self) -> dict[str, int]:
-        """Return this host's calls by server, without idle ones."""
+        """Return the number of this host's calls by worker, without zeros."""
         return {
             worker.instance: worker.in_flight
             for worker in self._workers.values()
@@ -270,10 +313,11 @@
         }
 
     def usable(self, service: str) -> list[Worker]:
-        """Return the servers that may get a new call of a service.
+        """Return the workers that may get a new call of a service.
 
-        Servers whose entry has just vanished serve only where there is no
-        other: all entries may have lapsed in an outage.
+        Avoided workers are returned only if all workers with an entry are
+        avoided. Workers without an entry are returned only if no worker has
+        one, because all entries may have expired in an outage of the registry.
         """
         now_ms = self._timer.now_ms()
         found = [
@@ -306,8 +350,8 @@
                 draining=entry.is_draining,
                 restarted=known is not None,
             )
-            # Calls of the process before give their slots back to its own
-            # object, which is not looked at any more.
+            # Calls on the previous process release their slots on the
+            # previous object, which is no longer used.
             self._workers[entry.instance] = Worker(
                 entry, is_local=entry.failure_domain == self._failure_domain
             )
