--- a/tests/test_boards.py
+++ b/tests/test_boards.py
@@ -1,4 +1,8 @@
-"""Boards: open turns at store hosts, and what entry hosts make of them."""
+"""Test the counts of open turns at store hosts and their use in placement.
+
+The tests guard against bursts that overload a backend server: load reports
+are too old to show the calls that other entry hosts have just placed.
+"""
 
 import unittest
 
@@ -8,15 +12,15 @@
 
 
 class BoardTest(unittest.TestCase):
-    """Turns of many entry hosts on a manual clock."""
+    """Test the counter of open turns on a manual clock."""
 
     def setUp(self):
-        """Start without turns."""
+        """Create a counter without turns."""
         self.timer = clock.ManualClock()
         self.counter = turn_counters.TurnCounter(self.timer)
 
     def test_turns_begin_and_end(self):
-        """Each counts once, on the server that was named last."""
+        """A turn counts once, on the worker that was assigned last."""
         self.counter.assign('t1', 'a')
         self.counter.assign('t2', 'a')
         self.counter.assign('t2', 'b')
@@ -27,7 +31,7 @@
         self.assertEqual(self.counter.counts(), {'b': 1})
 
     def test_turns_of_a_lost_host(self):
-        """They stop counting after the longest turn."""
+        """Turns that never finish expire after the longest possible turn."""
         self.counter.assign('t1', 'a')
         self.timer.advance(turn_counters.OPEN_TURN_TTL_MS + 1)
         self.counter.assign('t2', 'b')
@@ -35,14 +39,17 @@
 
 
 class BurstTest(unittest.TestCase):
-    """Entry hosts that place the turns of a burst at the same time."""
+    """Test entry hosts that place the turns of a burst at the same time.
+
+    Each placement uses the counts of open turns from the store hosts.
+    """
 
     servers = 4
     slots = 6
     hosts = 24
 
     def setUp(self):
-        """Start with idle servers and as many tables as hosts."""
+        """Create idle workers and one worker table per entry host."""
         self.timer = clock.ManualClock()
         self.counter = turn_counters.TurnCounter(self.timer)
         entries = [
@@ -56,7 +63,7 @@
             table.apply(entries, was_unreachable=False)
 
     def place(self, table, number):
-        """Place one turn by the count of open turns, as the relay does."""
+        """Place a turn by the counts of open turns, as the relay does."""
         call = calls.Call(f't{number}', program=f'p{number}', prompt_tokens=9)
         choose = placements.PLACEMENTS['home']
         first = choose(call, table.usable('e'), self.timer.now_ms())
@@ -71,7 +78,7 @@
         self.counter.assign(call.attempt, worker.instance)
 
     def test_no_server_gets_more_than_its_slots(self):
-        """All hosts see each turn at once; what is left waits."""
+        """The turns of a burst fill all slots and exceed none."""
         for number in range(60):
             self.place(self.tables[number % self.hosts], number)
         counts = self.counter.counts()
@@ -79,7 +86,7 @@
         self.assertEqual(set(counts.values()), {self.slots})
 
     def test_sums_do_not_hide_a_count(self):
-        """A count stands for a beat against older sums."""
+        """A count of turns outweighs load reports for one heartbeat."""
         table = self.tables[0]
         table.update_open_turns({'s0': 5}, '')
         table.update_remote_load({}, {})
--- a/tests/test_gateway_decisions.py
+++ b/tests/test_gateway_decisions.py
@@ -1,4 +1,8 @@
-"""Gateway decisions on a manual clock: who waits, runs, is refused."""
+"""Test admission, placement, budgets and directories on a manual clock.
+
+The tests guard against calls that overload a backend server, wait although a
+slot is free, or go to servers that are gone or have just failed.
+"""
 
 import random
 import unittest
@@ -33,36 +37,41 @@
 
 
 class WorkersTest(unittest.TestCase):
-    """Two-stage membership: the registry and what servers show."""
+    """Test which workers may get calls.
+
+    The registry and the results of calls both decide. The tests guard against
+    losing all workers in an outage of the registry, and against calls to
+    workers that are gone.
+    """
 
     def setUp(self):
-        """Start with two servers."""
+        """Register two workers."""
         self.timer = clock.ManualClock()
         self.table = workers.WorkerTable(self.timer)
         self.apply('a', 'b')
 
     def apply(self, *instances, was_unreachable=False):
-        """Take over a listing."""
+        """Apply a listing of the registry."""
         self.table.apply([entry(name) for name in instances], was_unreachable)
 
     def usable(self):
-        """Return the names of those that may get calls."""
+        """Return the workers that may get calls."""
         return [worker.instance for worker in self.table.usable(SERVICE)]
 
     def test_a_server_that_is_gone(self):
-        """Others serve in its place at once."""
+        """A worker without an entry gets no calls while another has one."""
         self.apply('b')
         self.assertEqual(self.usable(), ['b'])
 
     def test_all_entries_lapse(self):
-        """Servers whose entries vanish together serve on for a while."""
+        """Workers whose entries all expire get calls for a limited time."""
         self.apply()
         self.assertEqual(self.usable(), ['a', 'b'])
         self.timer.advance(workers.UNLISTED_TTL_MS + 1)
         self.assertEqual(self.usable(), [])
 
     def test_entries_come_back_after_an_outage(self):
-        """Those that lapsed in it have time to return, then are gone."""
+        """Workers without an entry are kept for a while, then removed."""
         self.apply(was_unreachable=True)
         self.timer.advance(workers.UNLISTED_TTL_MS + 1)
         self.assertEqual(self.usable(), ['a', 'b'])
@@ -73,12 +82,12 @@
         self.assertIsNone(self.table.get('b'))
 
     def test_a_draining_server(self):
-        """It gets nothing new."""
+        """A draining worker gets no new calls."""
         self.table.apply([entry('a', is_draining=True), entry('b')], False)
         self.assertEqual(self.usable(), ['b'])
 
     def test_a_restart_under_the_same_name(self):
-        """What was seen of the process before says nothing of the next."""
+        """A new process starts without its predecessor's failures and calls."""
         before = self.table.get('a')
         before.record_failure(self.timer.now_ms())
         before.in_flight = 3
@@ -87,7 +96,7 @@
         self.assertEqual((after.consecutive_failures, after.in_flight), (0, 0))
 
     def test_failures_keep_calls_away(self):
-        """Longer each time, and never from the last server left."""
+        """The avoidance doubles; the only listed worker still gets calls."""
         failing = self.table.get('a')
         failing.record_failure(self.timer.now_ms())
         self.assertEqual(self.usable(), ['b'])
@@ -100,7 +109,7 @@
         self.assertEqual(self.usable(), ['a'])
 
     def test_a_server_that_fails_other_hosts(self):
-        """It is avoided where two suspect it, unless it has just served."""
+        """Two suspecting hosts suffice, unless a call has just succeeded."""
         self.timer.advance(1000)
         self.table.update_suspects({'a': 1})
         self.assertEqual(self.usable(), ['a', 'b'])
@@ -114,14 +123,14 @@
         self.assertEqual(self.usable(), ['a', 'b'])
 
     def test_suspects_are_told(self):
-        """While calls of this host avoid them."""
+        """A worker is reported as long as this host avoids it."""
         self.table.get('a').record_failure(self.timer.now_ms())
         self.assertEqual(self.table.suspects(), ['a'])
         self.timer.advance(workers.MIN_AVOID_MS)
         self.assertEqual(self.table.suspects(), [])
 
     def test_load_of_other_hosts(self):
-        """Sums of the other hosts count while they are fresh."""
+        """Load reports of other hosts count until they are too old."""
         worker = self.table.get('a')
         worker.in_flight = 1
         self.table.update_remote_load({'a': 3}, {SERVICE: 3})
@@ -133,29 +142,33 @@
 
 
 class PlacementTest(unittest.TestCase):
-    """Programs stay where their prompts are, until that place is full."""
+    """Test the placement policies.
+
+    They guard against a program that loses its cached prompts, a worker that
+    gets more calls than it has slots, and hosts that all choose the same one.
+    """
 
     def setUp(self):
-        """Start with four idle servers."""
+        """Create four idle workers."""
         self.candidates = [workers.Worker(entry(name)) for name in 'wxyz']
         self.place = placements.PLACEMENTS['home']
 
     def test_a_program_comes_home(self):
-        """The same server for the same program, whatever the order."""
+        """A program gets the same worker in any order of candidates."""
         call = calls.Call('a', program='p', prompt_tokens=9)
         first = self.place(call, self.candidates, 0)
         again = self.place(call, list(reversed(self.candidates)), 0)
         self.assertIs(first, again)
 
     def test_a_full_home_is_left(self):
-        """Near its limit a home is left for a free server."""
+        """A program leaves a full home for a free worker."""
         call = calls.Call('a', program='p', prompt_tokens=9)
         home = self.place(call, self.candidates, 0)
         home.in_flight = 4
         self.assertIsNot(self.place(call, self.candidates, 0), home)
 
     def test_homes_are_near(self):
-        """Programs of one failure domain stay in it, where it is enough."""
+        """Programs stay in a failure domain that has enough workers."""
         far = [workers.Worker(entry(name)) for name in 'abcd']
         for worker in self.candidates:
             worker.is_local = True
@@ -165,7 +178,7 @@
             self.assertIn(home, self.candidates)
 
     def test_calls_go_where_a_connection_is_kept(self):
-        """Tools hold no prompts; a stale connection counts for nothing."""
+        """Calls without a prompt use a recent connection, not a stale one."""
         stale, fresh = self.candidates[0], self.candidates[3]
         stale.idle_connections = 1
         fresh.idle_connections = 1
@@ -178,7 +191,7 @@
         self.assertIs(chosen, fresh)
 
     def test_a_server_that_comes_back_in_a_burst(self):
-        """Hosts with the same outdated view don't all send to it."""
+        """Hosts with the same outdated load figures do not all choose it."""
         random.seed(1)
         busy = [workers.Worker(entry(f'b{number}')) for number in range(20)]
         for worker in busy:
@@ -190,13 +203,13 @@
         self.assertLess(chosen.count(fresh), 20)
 
     def test_all_full(self):
-        """Nothing is placed on full servers."""
+        """No call is placed on a full worker."""
         for worker in self.candidates:
             worker.in_flight = 4
         self.assertIsNone(self.place(calls.Call('a'), self.candidates, 0))
 
     def test_overflow_takes_the_shortest_queue(self):
-        """In a burst the least filled server's own queue is used."""
+        """The least loaded worker takes overflow calls up to its limit."""
         for number, worker in enumerate(self.candidates):
             worker.in_flight = 7 - number % 2
         chosen = placements.place_overflow(self.candidates, 0)
@@ -207,15 +220,19 @@
 
 
 class DirectoryTest(unittest.TestCase):
-    """Which entry hosts callers of a failure domain are told."""
+    """Test which entry hosts are returned to callers of a failure domain.
+
+    The tests guard against callers that are sent to hosts that are not ready
+    or cut off, and against depending on too few hosts.
+    """
 
     def setUp(self):
-        """Start with a host of domain a."""
+        """Create the directory of a host in failure domain a."""
         self.timer = clock.ManualClock()
         self.directory = directories.Directory('a0', 'a', 'a0:1', self.timer)
 
     def tell(self, **domains):
-        """Tell of so many entry hosts by domain."""
+        """Apply a report with the given number of hosts per domain."""
         hosts = {
             f'{zone}{number}': (f'{zone}{number}:1', zone, False)
             for zone, count in domains.items()
@@ -225,7 +242,7 @@
         self.directory.update(messages.Hosts(7, hosts, {}, {}, news))
 
     def test_large_domains_serve_themselves(self):
-        """Callers are told hosts of their own domain."""
+        """Callers get only hosts of their own failure domain."""
         self.tell(a=8, b=9)
         self.assertTrue(self.directory.has_enough_local_hosts)
         for zone, count in (('a', 8), ('b', 9)):
@@ -234,14 +251,14 @@
             self.assertTrue(all(name.startswith(zone) for name in found))
 
     def test_small_domains_share_all_hosts(self):
-        """Too few near hosts would be lost at once."""
+        """Callers get all hosts if their own domain has too few."""
         self.tell(a=2, b=9)
         self.assertFalse(self.directory.has_enough_local_hosts)
         found = self.directory.addresses('a', is_self_ready=True)
         self.assertEqual(len(found), 11)
 
     def test_a_host_that_is_not_ready(self):
-        """It names the others, and never itself."""
+        """A host that is not ready returns the others without itself."""
         self.tell(a=7)
         found = self.directory.addresses('a', is_self_ready=False)
         self.assertNotIn('a0:1', found)
@@ -250,7 +267,10 @@
         self.assertEqual(found, [])
 
     def test_a_host_that_is_cut_off(self):
-        """It names nobody: those that it knows may be cut off, too."""
+        """Without a recent report no host is returned.
+
+        The hosts that it knows may be cut off as well.
+        """
         self.tell(a=2, b=9)
         self.timer.advance(directories.HOSTS_TTL_MS + 1)
         found = self.directory.addresses('a', is_self_ready=False)
@@ -258,10 +278,14 @@
 
 
 class CallQueueTest(unittest.TestCase):
-    """Bursts at one service with two servers of two slots."""
+    """Test the queue of a service with two workers of two slots each.
+
+    The tests guard against urgent calls that wait behind routine ones, and
+    against calls that wait only to be refused.
+    """
 
     def setUp(self):
-        """Start with idle servers."""
+        """Create a queue with idle workers."""
         self.timer = clock.ManualClock()
         self.table = workers.WorkerTable(self.timer)
         self.table.apply([entry('a', 2), entry('b', 2)], False)
@@ -272,7 +296,7 @@
         self.refused = []
 
     def submit(self, name, rank=0, finish_ms=None):
-        """Submit a call."""
+        """Submit a call and record how it is resolved."""
 
         def resolve(worker):
             chosen = self.refused if worker is None else self.granted
@@ -284,11 +308,11 @@
         return queued
 
     def names(self):
-        """Return the granted calls in order."""
+        """Return the names of the granted calls in order."""
         return [name for name, _worker in self.granted]
 
     def fill(self):
-        """Take all slots."""
+        """Occupy all slots."""
         for number in range(4):
             self.submit(f'first-{number}')
         self.granted.clear()
@@ -300,7 +324,7 @@
         self.assertFalse(self.refused)
 
     def test_urgent_calls_go_first(self):
-        """A burst of routine calls does not delay an urgent one."""
+        """An urgent call overtakes waiting routine calls."""
         self.fill()
         for number in range(3):
             self.submit(f'routine-{number}', rank=2)
@@ -309,7 +333,7 @@
         self.assertEqual(self.names(), ['urgent'])
 
     def test_within_a_rank_the_tightest_program_goes_first(self):
-        """Programs that must finish soon go before those with time."""
+        """The program that is due first gets the next slot."""
         self.fill()
         self.submit('later', finish_ms=9000)
         self.submit('sooner', finish_ms=1000)
@@ -317,7 +341,7 @@
         self.assertEqual(self.names(), ['sooner'])
 
     def test_late_programs_go_behind(self):
-        """In a flood those that can be in time go before those that can't."""
+        """A program that can be in time goes before a late one."""
         self.fill()
         self.submit('late', finish_ms=0)
         self.submit('in time', finish_ms=5000)
@@ -325,7 +349,10 @@
         self.assertEqual(self.names(), ['in time'])
 
     def test_calls_that_run_once_test_no_server(self):
-        """After a failure safe calls go there first, others if it must be."""
+        """A call that runs at most once avoids a worker with a recent failure.
+
+        It goes there only if no other worker has a free slot.
+        """
         failed = self.table.get('a')
         failed.record_failure(self.timer.now_ms())
         self.timer.advance(workers.MIN_AVOID_MS)
@@ -343,14 +370,14 @@
         self.assertFalse(failed.has_recent_failure(self.timer.now_ms()))
 
     def test_queues_of_other_hosts_count(self):
-        """A call is refused for what waits at other hosts, too."""
+        """Calls that wait at other hosts add to the expected wait."""
         self.fill()
         self.table.update_remote_load({}, {SERVICE: 99})
         self.submit('new')
         self.assertEqual([name for name, _ in self.refused], ['new'])
 
     def test_long_waits_overflow_to_the_servers(self):
-        """Calls whose time here is up join the shortest server queue."""
+        """An overdue call goes to the least loaded worker's own queue."""
         self.fill()
         self.submit('waiting')
         self.timer.advance(queues.MAX_WAIT_MS + 200)
@@ -358,7 +385,7 @@
         self.assertEqual(self.names(), ['waiting'])
 
     def test_what_cannot_be_served_is_refused_at_once(self):
-        """A flood is refused as it comes, not after it has waited."""
+        """Calls beyond the possible throughput are refused on arrival."""
         self.fill()
         for number in range(80):
             self.submit(f'flood-{number}')
@@ -368,7 +395,7 @@
         self.assertLess(waiting * queues.INITIAL_HOLD_MS / 4, 1000)
 
     def test_returns_are_spread(self):
-        """Refused calls come back spread, within a third of their time."""
+        """Retry delays are spread and at most a third of the time left."""
         self.fill()
         pauses = {
             self.queue.retry_after_ms(3000, spread / 10) for spread in range(10)
@@ -378,7 +405,7 @@
         self.assertLessEqual(self.queue.retry_after_ms(30, 1), 10)
 
     def test_callers_that_leave(self):
-        """A call whose caller left gets no slot."""
+        """A cancelled call gets no slot."""
         self.fill()
         queued = self.submit('gone')
         self.queue.cancel(queued)
@@ -386,7 +413,7 @@
         self.assertEqual(self.names(), [])
 
     def test_no_servers(self):
-        """Without any server a call is refused at once."""
+        """A call is refused at once if there is no worker."""
         self.table.apply([], False)
         self.timer.advance(workers.UNLISTED_TTL_MS + 1)
         self.submit('vain')
@@ -394,22 +421,25 @@
 
 
 class BudgetTest(unittest.TestCase):
-    """Charges of a program against its budget."""
+    """Test when a program's budget covers another turn.
+
+    The tests guard against concurrent turns that exceed the budget together.
+    """
 
     def covers(self, charges, budget=100, most=40):
-        """Tell whether one more turn is covered."""
+        """Return whether the budget covers one more turn."""
         call = calls.Call('me', budget_tokens=budget, output_tokens=most)
         return budgets.covers(call, charges)
 
     def test_unsettled_turns_count_with_their_most(self):
-        """Turns under way are charged as if they used all they may."""
+        """Turns that have not ended are charged with their maximum."""
         self.assertTrue(self.covers({'a': (60, False)}))
         self.assertFalse(self.covers({'a': (61, False)}))
 
     def test_the_own_reservation_counts_once(self):
-        """The turn's own charge is not added to itself."""
+        """The reservation of the turn itself is not counted twice."""
         self.assertTrue(self.covers({'me': (40, False), 'a': (60, True)}))
 
     def test_no_budget(self):
-        """A call without a budget is covered."""
+        """A call without a budget is always covered."""
         self.assertTrue(self.covers({'a': (900, True)}, budget=None))
