--- a/src/carobfork/gateway/directories.py
+++ b/src/carobfork/gateway/directories.py
@@ -69,15 +69,15 @@
         """
         if self._timer.now_ms() - self._updated_ms > HOSTS_TTL_MS:
             return []
-        near = list(self._others(failure_domain))
+        local_addresses = list(self._others(failure_domain))
         if is_self_ready and failure_domain == self._failure_domain:
-            near.insert(0, self._address)
-        if len(near) >= MIN_LOCAL_HOSTS:
-            return near[:MAX_ADDRESSES]
-        others = list(self._others())
+            local_addresses.insert(0, self._address)
+        if len(local_addresses) >= MIN_LOCAL_HOSTS:
+            return local_addresses[:MAX_ADDRESSES]
+        all_addresses = list(self._others())
         if is_self_ready:
-            others.insert(0, self._address)
-        return others[:MAX_ADDRESSES]
+            all_addresses.insert(0, self._address)
+        return all_addresses[:MAX_ADDRESSES]
 
     def _others(self, failure_domain: str = '') -> Iterator[str]:
         """Yield other hosts' addresses in one failure domain or in all."""
--- a/src/carobfork/gateway/exchanges.py
+++ b/src/carobfork/gateway/exchanges.py
@@ -368,7 +368,9 @@
         splitter = events.EventSplitter()
         with _raise_as_failure(worker.instance):
             for piece in connection.reader.iter_body(answer.shape):
-                new_bytes = _accept_new(context, splitter.feed(piece), worker)
+                new_bytes = _accept_new_events(
+                    context, splitter.feed(piece), worker
+                )
                 if new_bytes:
                     response.send(new_bytes)
             if splitter.remainder:
@@ -378,7 +380,7 @@
         response.end()
 
 
-def _accept_new(
+def _accept_new_events(
     context: RequestContext,
     received: list[events.Event],
     worker: workers.Worker,
--- a/src/carobfork/gateway/turns.py
+++ b/src/carobfork/gateway/turns.py
@@ -84,12 +84,12 @@
 class TurnManager:
     """Open, store and close turns.
 
-    :param records: storage of turns and charges.
+    :param store: storage of turns and charges.
     """
 
-    def __init__(self, records: TurnStore) -> None:
+    def __init__(self, store: TurnStore) -> None:
         """Create a manager for a store."""
-        self._store = records
+        self._store = store
 
     def open(
         self,
