--- a/src/carobfork/gateway/__init__.py
+++ b/src/carobfork/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Gateway: routes callers' HTTP requests to backend servers."""
+"""HTTP gateway that routes callers' requests to backend servers."""
--- a/src/carobfork/gateway/connection_pools.py
+++ b/src/carobfork/gateway/connection_pools.py
@@ -1,8 +1,8 @@
-"""Pools: kept connections to backend servers.
+"""Keep idle connections to backend servers for reuse.
 
-Nothing here sends a request again. A connection is kept for less than the
-server keeps it, and looked at before it is used: one that the server has
-closed, or on which unasked bytes lie, is dropped before anything is sent.
+The pool never sends a request again. A connection is kept for less time than
+the server keeps it and is checked before reuse: if the server has closed it,
+or unexpected bytes have arrived, it is closed before anything is sent.
 """
 
 import collections
@@ -15,26 +15,38 @@
 from carobfork.gateway import framing, routes, workers
 
 CONNECT_TIMEOUT_MS = 400
-"""Above a few round trips and a busy server, below a lost packet's second."""
+"""Longer than a few round trips to a busy server, shorter than the second
+after which a lost packet is sent again."""
 MAX_IDLE_RATIO = 0.7
-"""Of the server's idle time-out that a connection is kept."""
+"""Fraction of the server's idle timeout for which a connection is kept."""
 DEFAULT_MAX_IDLE_MS = 2000
-"""For servers that don't tell their time-out."""
+"""For servers that don't state their idle timeout."""
 MAX_UNSAFE_IDLE_MS = 400
-"""For calls that run at most once: a server may have dropped the connection
-without a word, and then nobody knows whether the call ran."""
+"""For calls that run at most once. The server may have dropped the connection
+silently, and then it is unknown whether the call ran."""
 MAX_STREAM_IDLE_MS = 4000
-"""For turns that run at most once: callers send a turn again from its start."""
+"""For turns that run at most once. The limit is higher than for other calls,
+since callers send a failed turn again from its start."""
 USER_TIMEOUT_MS = 1200
-"""For unacknowledged bytes: above the second after which a lost packet is
-sent again."""
+"""How long sent bytes may stay unacknowledged (``TCP_USER_TIMEOUT``); longer
+than the second after which a lost packet is sent again."""
 MAX_IDLE_CONNECTIONS = 24
-"""Kept connections to one server: as many as one host's calls in a burst."""
+"""Idle connections kept per server: as many as the calls that one host sends
+it in a burst."""
 
 
 @attrs.define(eq=False)
 class Connection:
-    """A connection to a backend server."""
+    """A connection to a backend server.
+
+    :param sock: the connected socket.
+    :param reader: reads responses from the socket.
+    :param is_reused: whether it was idle in the pool before.
+    :param idle_since_ms: time at which it was last returned to the pool.
+    :param max_idle_ms: how long it may be idle before it is closed.
+    :param has_partial_request: whether a request on it was not sent whole,
+        so that the server may wait for the rest.
+    """
 
     sock: socket.socket
     reader: framing.Reader
@@ -42,19 +54,18 @@
     idle_since_ms: float = 0
     max_idle_ms: float = DEFAULT_MAX_IDLE_MS
     has_partial_request: bool = False
-    """Whether the server may still wait for bytes of a request."""
 
     def close(self) -> None:
-        """Close it, which cancels what runs on it."""
+        """Close the connection, which cancels a call that runs on it."""
         self.sock.close()
 
     def is_clean(self) -> bool:
-        """Tell whether it is open and nothing unasked has arrived."""
+        """Tell whether it is open and no unexpected bytes have arrived."""
         if self.reader.buffered:
             return False
         flags = sockets.MSG_PEEK | sockets.MSG_DONTWAIT
         try:
-            # The underlying socket: gevent's would wait.
+            # The underlying socket, since recv of gevent's would block.
             self.sock._sock.recv(1, flags)  # noqa: WPS437
         except BlockingIOError:
             return True
@@ -64,22 +75,22 @@
 
 
 class ConnectionPool:
-    """Connections to all backend servers.
+    """Pool of idle connections to all backend servers.
 
-    :param timer: measures idle times.
+    :param timer: clock for idle times.
     """
 
     def __init__(self, timer: clock.Clock) -> None:
-        """Start without connections."""
+        """Create an empty pool."""
         self.opened = 0
         self._timer = timer
         self._idle: dict[tuple, collections.deque[Connection]] = {}
 
     def acquire(self, worker: workers.Worker, max_idle_ms: float) -> Connection:
-        """Return a connection to a server, kept or new.
+        """Return an idle connection to a server, or open a new one.
 
-        :param most_idle_ms: how long it may have been idle.
-        :raises ConnectionFailedError: the server can't be reached; nothing
+        :param max_idle_ms: how long the connection may have been idle.
+        :raises ConnectionFailedError: if the server can't be reached; nothing
             was sent.
         """
         idle = self._idle.get(_key(worker), ())
@@ -98,9 +109,11 @@
         connection: Connection,
         idle_ms: float | None,
     ) -> None:
-        """Keep a connection whose response was read whole.
+        """Keep a connection for reuse after its response was read whole.
+
+        A connection on which a request was not sent whole is closed.
 
-        :param idle_ms: how long the server keeps it, if told.
+        :param idle_ms: the server's idle timeout, if it stated one.
         """
         if connection.has_partial_request:
             connection.close()
@@ -116,13 +129,13 @@
         worker.last_kept_ms = connection.idle_since_ms
 
     def discard_idle(self, worker: workers.Worker) -> None:
-        """Close all kept connections to a server that has failed."""
+        """Close all idle connections to a server that has failed."""
         for connection in self._idle.pop(_key(worker), ()):
             connection.close()
         worker.idle_connections = 0
 
     def close_expired(self) -> None:
-        """Close connections that were idle for too long."""
+        """Close the connections that have been idle for too long."""
         for key, idle in list(self._idle.items()):
             while idle and not self._is_usable(idle[0], idle[0].max_idle_ms):
                 idle.popleft().close()
@@ -130,7 +143,7 @@
                 self._idle.pop(key)
 
     def close(self) -> None:
-        """Close all kept connections."""
+        """Close all idle connections."""
         for idle in self._idle.values():
             for connection in idle:
                 connection.close()
@@ -165,7 +178,10 @@
 
 
 def max_idle_ms(route: routes.Route) -> float:
-    """Return how long a connection may have been idle for a request."""
+    """Return how long a connection may have been idle to be reused.
+
+    :param route: the route of the request to be sent on it.
+    """
     if route.is_repeatable:
         return float('inf')
     if route.kind == routes.Kind.stream:
--- a/src/carobfork/gateway/events.py
+++ b/src/carobfork/gateway/events.py
@@ -1,4 +1,7 @@
-"""Events: server-sent events cut at their borders, passed on as bytes."""
+"""Split event streams (server-sent events) and check their order.
+
+The bytes of an event are kept as the backend server sent them.
+"""
 
 import attrs
 
@@ -10,17 +13,17 @@
 
 
 class EventOrderError(exceptions.CallFailedError):
-    """A backend server's stream skipped or repeated an event."""
+    """A backend server's stream skipped an event."""
 
     code = 'event_order'
 
 
 @attrs.frozen
 class Event:
-    """One whole event.
+    """A complete event.
 
-    :param raw: its bytes with the closing empty line.
-    :param number: its identifier, if it has one that counts.
+    :param raw: its bytes, with the empty line that ends it.
+    :param number: its identifier, if it is a whole number.
     """
 
     raw: bytes
@@ -28,7 +31,7 @@
 
     @property
     def payload(self) -> bytes:
-        """What the event carries, its lines joined."""
+        """Content of the event's data lines, joined by newlines."""
         lines = [
             line[len(_CONTENT) :].removeprefix(b' ')
             for line in self.raw.splitlines()
@@ -38,14 +41,14 @@
 
 
 class EventSplitter:
-    """Cut a stream's bytes into whole events."""
+    """Incremental splitter of a stream's bytes into events."""
 
     def __init__(self) -> None:
-        """Start with nothing left over."""
+        """Create a splitter with an empty buffer."""
         self.remainder = bytearray()
 
     def feed(self, piece: bytes) -> list[Event]:
-        """Return the events that a piece completes."""
+        """Add received bytes and return the events that they complete."""
         self.remainder.extend(piece)
         found = []
         while True:
@@ -66,21 +69,22 @@
 
 
 class EventLog:
-    """What a caller was given of a stream, over all its runs.
+    """Events that a caller was sent of a stream, over all attempts.
 
-    :param last: the last event that the caller had before.
+    :param last: identifier of the last event that the caller had before;
+        empty if it had none.
     """
 
     def __init__(self, last: str = '') -> None:
-        """Start after an event."""
+        """Create an empty log that continues after an event."""
         self.count = 0
         self.last_id = last
         self._payloads: list[bytes] = []
 
     def accept(self, event: Event) -> bool:
-        """Note an event; tell whether it is new to the caller.
+        """Record an event and tell whether it is new to the caller.
 
-        :raises EventOrderError: an event before it is missing.
+        :raises EventOrderError: if an event before it is missing.
         """
         if event.number is not None and self.last_id.isdigit():
             expected = int(self.last_id) + 1
@@ -88,7 +92,7 @@
                 return False
             if event.number > expected:
                 raise EventOrderError(
-                    f'event {event.number} came instead of {expected}',
+                    f'received event {event.number}, expected {expected}',
                     step='relay',
                 )
         if event.number is not None:
@@ -98,11 +102,12 @@
         return True
 
     def content(self) -> bytes:
-        """Return the data of all events, a line each."""
+        """Return the data of all recorded events, each with a newline."""
         return b''.join(b'%b\n' % line for line in self._payloads)
 
 
 def _number(raw: bytes) -> int | None:
+    """Return an event's identifier, or None if it is not a whole number."""
     for line in raw.splitlines():
         if line.startswith(_ID):
             digits = line[len(_ID) :].strip()
--- a/src/carobfork/gateway/framing.py
+++ b/src/carobfork/gateway/framing.py
@@ -1,7 +1,8 @@
-"""Framing: HTTP/1.1 heads and bodies, read strictly from a socket.
+"""Parse and encode HTTP/1.1 messages strictly.
 
-Requests with an ambiguous length are refused, since a peer that frames them
-otherwise would read a second request inside the first.
+Messages with an ambiguous length are refused. A backend server that frames
+such a request differently would read a second request inside the first
+(request smuggling).
 """
 
 import string
@@ -13,8 +14,9 @@
 from carobfork import exceptions
 
 READ_BYTES = 65_536
+"""Most bytes received from a socket at a time."""
 MAX_HEAD_BYTES = 65_536
-"""Longest head of a backend server's response."""
+"""Longest head of a response."""
 LINE_END = b'\r\n'
 HEAD_END = b'\r\n\r\n'
 _NAME_BYTES = frozenset(
@@ -24,6 +26,7 @@
 _HEX = 16
 _HEX_DIGITS = string.hexdigits.encode()
 _MAX_CHUNK_LINE_BYTES = 256
+"""Longest line with a chunk's size and extensions, or of a trailer."""
 _CONTENT_LENGTH = 'content-length'
 _TRANSFER_ENCODING = 'transfer-encoding'
 _BODILESS_STATUSES = frozenset((204, 304))
@@ -44,13 +47,13 @@
 
 
 class FramingError(exceptions.BadRequestError):
-    """The bytes are no HTTP message that can be framed safely."""
+    """The bytes are not an HTTP message, or its length is ambiguous."""
 
     code = 'bad_framing'
 
 
 class HeadTooLargeError(exceptions.BadRequestError):
-    """The head is larger than this system accepts."""
+    """The head of a message is longer than the limit."""
 
     code = 'head_too_large'
     http_status = 431
@@ -58,28 +61,39 @@
 
 @attrs.frozen
 class Head:
-    """First line and headers of a message; names are in lower case.
+    """First line and headers of a message.
 
     :param first: the three parts of the first line.
-    :param fields: names, values and the names as they were spelled.
+    :param fields: each header's name in lower case, value and name as
+        received.
     """
 
     first: tuple[str, str, str]
     fields: tuple[tuple[str, str, str], ...]
 
     def get(self, name: str, default: str = '') -> str:
-        """Return the first value of a header."""
+        """Return the first value of a header.
+
+        :param name: the header's name in lower case.
+        :param default: returned if the header is absent.
+        """
         for known, text, _spelled in self.fields:
             if known == name:
                 return text
         return default
 
     def get_all(self, name: str) -> list[str]:
-        """Return all values of a header."""
+        """Return all values of a header.
+
+        :param name: the header's name in lower case.
+        """
         return [text for known, text, _ in self.fields if known == name]
 
     def end_to_end(self) -> list[tuple[str, str]]:
-        """Return the headers that concern more than one connection."""
+        """Return the headers that a proxy passes on.
+
+        Hop-by-hop headers and those that Connection names are left out.
+        """
         named = self.get('connection').lower().split(',')
         dropped = _HOP_BY_HOP.union(name.strip() for name in named)
         return [
@@ -90,7 +104,7 @@
 
     @property
     def keeps_open(self) -> bool:
-        """Whether the sender goes on using the connection."""
+        """Whether the sender keeps the connection open after the message."""
         options = self.get('connection').lower()
         if 'close' in options:
             return False
@@ -98,17 +112,20 @@
 
 
 def parse_head(raw: bytes) -> Head:
-    """Parse a head without its closing empty line.
+    """Parse a head.
 
-    :raises FramingError: it is malformed.
+    :param raw: its bytes without the empty line that ends it.
+    :raises FramingError: if it is malformed.
     """
     text = raw.decode('latin-1')
     if '\0' in text:
-        raise FramingError('a zero byte in the head', step='parse head')
+        raise FramingError('the head has a NUL byte', step='parse head')
     lines = text.split('\r\n')
     first = lines[0].split(' ', 2)
     if len(first) != 3:
-        raise FramingError('the first line is malformed', step='parse head')
+        raise FramingError(
+            'the first line does not have three parts', step='parse head'
+        )
     return Head(tuple(first), tuple(_parse_field(line) for line in lines[1:]))
 
 
@@ -118,27 +135,31 @@
         name.encode('latin-1')
     )
     if not is_valid or '\n' in content or '\r' in content:
-        raise FramingError('a header is malformed', step='parse head')
+        raise FramingError('a header line is malformed', step='parse head')
     return name.lower(), content.strip(' \t'), name
 
 
 @attrs.frozen
 class BodyShape:
-    """How a body ends: after a length, by chunks, or with the connection."""
+    """How the end of a body is found.
+
+    :param length: the body's length in bytes, if it is known.
+    :param is_chunked: whether the body has the chunked transfer encoding.
+    """
 
     length: int | None = None
     is_chunked: bool = False
 
     @property
     def ends_with_connection(self) -> bool:
-        """Whether only the end of the connection ends the body."""
+        """Whether the body lasts until the connection is closed."""
         return self.length is None and not self.is_chunked
 
 
 def request_shape(head: Head) -> BodyShape:
-    """Return how a request's body ends.
+    """Return how the end of a request's body is found.
 
-    :raises FramingError: its length is ambiguous.
+    :raises FramingError: if its length is ambiguous.
     """
     shape = _declared_shape(head)
     if shape.ends_with_connection:
@@ -147,9 +168,10 @@
 
 
 def response_shape(head: Head, method: str) -> BodyShape:
-    """Return how a response's body ends.
+    """Return how the end of a response's body is found.
 
-    :raises FramingError: its length is ambiguous.
+    :param method: the request's method.
+    :raises FramingError: if its length is ambiguous.
     """
     if method == 'HEAD' or int(head.first[1]) in _BODILESS_STATUSES:
         return BodyShape(length=0)
@@ -161,54 +183,69 @@
     lengths = set(head.get_all(_CONTENT_LENGTH))
     if encodings:
         if lengths or [text.lower() for text in encodings] != ['chunked']:
-            raise FramingError('the body has two lengths', step='frame body')
+            raise FramingError(
+                'the transfer encoding is not just chunked, '
+                'or there is a content length, too',
+                step='frame body',
+            )
         return BodyShape(is_chunked=True)
     if not lengths:
         return BodyShape()
     length = lengths.pop()
     if lengths or not (length.isascii() and length.isdigit()):
-        raise FramingError('the content length is wrong', step='frame body')
+        raise FramingError(
+            'the content length is ambiguous or not a number',
+            step='frame body',
+        )
     return BodyShape(length=int(length))
 
 
 class Reader:
-    """Read messages from a socket, keeping what came too early.
+    """Buffered reader of HTTP messages.
+
+    Bytes received beyond the end of a message are kept for the next one.
 
     :param sock: a connected gevent socket.
     """
 
     def __init__(self, sock: socket.socket) -> None:
-        """Start with nothing read."""
+        """Create a reader with an empty buffer."""
         self.buffered = bytearray()
         self._sock = sock
 
     def read_head(self, limit: int) -> Head | None:
-        """Return the next head, or nothing at a clean end.
+        """Read a head, or return None if the connection ended before it.
 
-        :raises FramingError: the bytes are no head.
-        :raises HeadTooLargeError: it is longer than ``limit``.
-        :raises OSError: the connection failed.
+        :param limit: longest accepted head in bytes.
+        :raises FramingError: if the head is malformed.
+        :raises HeadTooLargeError: if the head is longer than ``limit``.
+        :raises EOFError: if the connection ended inside the head.
+        :raises OSError: if the connection failed.
         """
         self._skip_empty_lines()
         end = self.buffered.find(HEAD_END)
         while end < 0:
             if len(self.buffered) > limit:
-                raise HeadTooLargeError('the head is too long', step='read')
+                raise HeadTooLargeError(
+                    f'the head is longer than {limit} bytes', step='read'
+                )
             if not self._fill():
                 return self._end_before_head()
             self._skip_empty_lines()
             end = self.buffered.find(HEAD_END)
         if end > limit:
-            raise HeadTooLargeError('the head is too long', step='read')
+            raise HeadTooLargeError(
+                f'the head is longer than {limit} bytes', step='read'
+            )
         raw = bytes(self.buffered[:end])
         self._drop(end + len(HEAD_END))
         return parse_head(raw)
 
     def iter_body(self, shape: BodyShape) -> Iterator[bytes]:
-        """Yield a body's bytes as they come.
+        """Yield a body's bytes as they arrive, without chunk framing.
 
-        :raises FramingError: chunks are malformed.
-        :raises EOFError: the connection ended inside the body.
+        :raises FramingError: if a chunk is malformed.
+        :raises EOFError: if the connection ended inside the body.
         """
         if shape.is_chunked:
             yield from self._chunks()
@@ -218,18 +255,23 @@
             yield from self._counted(shape.length)
 
     def read_body(self, shape: BodyShape, limit: int) -> bytes:
-        """Return a whole body.
+        """Read a whole body.
 
-        :raises TooLargeError: it is longer than ``limit`` bytes.
+        :param limit: longest accepted body in bytes.
+        :raises FramingError: if a chunk is malformed.
+        :raises TooLargeError: if the body is longer than ``limit``.
+        :raises EOFError: if the connection ended inside the body.
         """
         if (shape.length or 0) > limit:
-            raise exceptions.TooLargeError('the body is too large', step='read')
+            raise exceptions.TooLargeError(
+                f'the body is longer than {limit} bytes', step='read'
+            )
         body = bytearray()
         for piece in self.iter_body(shape):
             body.extend(piece)
             if len(body) > limit:
                 raise exceptions.TooLargeError(
-                    'the body is too large', step='read'
+                    f'the body is longer than {limit} bytes', step='read'
                 )
         return bytes(body)
 
@@ -287,20 +329,29 @@
     def _chunk_size(self) -> int:
         digits = self._line().partition(b';')[0].strip(b' \t')
         if not digits or digits.strip(_HEX_DIGITS):
-            raise FramingError('a chunk has no size', step='frame body')
+            raise FramingError(
+                'the size of a chunk is not a hexadecimal number',
+                step='frame body',
+            )
         return int(digits, _HEX)
 
     def _expect_line_end(self) -> None:
         while len(self.buffered) < len(LINE_END):
             self._fill_or_raise()
         if self._take(len(LINE_END)) != LINE_END:
-            raise FramingError('a chunk has no end', step='frame body')
+            raise FramingError(
+                'a chunk is longer than its size', step='frame body'
+            )
 
     def _line(self) -> bytes:
         end = self.buffered.find(LINE_END)
         while end < 0:
             if len(self.buffered) > _MAX_CHUNK_LINE_BYTES:
-                raise FramingError('a chunk line is too long', step='read')
+                raise FramingError(
+                    'a chunk size or trailer line is longer than '
+                    f'{_MAX_CHUNK_LINE_BYTES} bytes',
+                    step='read',
+                )
             self._fill_or_raise()
             end = self.buffered.find(LINE_END)
         line = self._take(end)
@@ -309,13 +360,20 @@
 
 
 def encode_head(first: str, fields: list[tuple[str, str]]) -> bytes:
-    """Return the bytes of a head, with its closing empty line."""
+    """Return the bytes of a head, with the empty line that ends it.
+
+    :param first: the first line.
+    :param fields: names and values of the headers.
+    """
     lines = [first, *(f'{name}: {text}' for name, text in fields), '', '']
     return '\r\n'.join(lines).encode('latin-1')
 
 
 def encode_chunk(piece: bytes) -> bytes:
-    """Return a piece of a body as a chunk."""
+    """Return a piece of a body as a chunk.
+
+    :param piece: must not be empty, since an empty chunk ends the body.
+    """
     return b'%x\r\n%b\r\n' % (len(piece), piece)
 
 
--- a/src/carobfork/gateway/metrics.py
+++ b/src/carobfork/gateway/metrics.py
@@ -1,37 +1,45 @@
-"""Measures: counts and latencies of a host, in the text form of Prometheus.
+"""Render a host's metrics in the Prometheus text format.
 
-Parts count in plain integers; text is made when it is asked for.
+Counters are plain integers of their modules and are rendered on request.
 """
 
 import bisect
 from collections.abc import Iterator, Mapping
 
 LATENCY_BOUNDS_MS = (5, 10, 25, 50, 100, 250, 500, 1000, 2500, 5000)
-"""From the quickest tool to the longest deadline of an interactive caller."""
+"""From the fastest tool call to the longest deadline of interactive callers."""
 PREFIX = 'carobfork_'
+"""Start of every metric's name."""
 
 
 class Histogram:
-    """Count durations by upper bounds.
+    """Histogram of durations.
 
-    :param bounds_ms: the bounds, ascending; longer durations count, too.
+    :param bounds_ms: upper bounds of the buckets, ascending; one more bucket
+        counts longer durations.
     """
 
     def __init__(
         self, bounds_ms: tuple[float, ...] = LATENCY_BOUNDS_MS
     ) -> None:
-        """Start with nothing counted."""
+        """Create an empty histogram."""
         self._bounds_ms = bounds_ms
         self._counts = [0 for _bound in (*bounds_ms, None)]
         self._total_ms = 0
 
     def observe(self, span_ms: float) -> None:
-        """Count a duration."""
+        """Add a duration.
+
+        :param span_ms: the duration in ms.
+        """
         self._counts[bisect.bisect_left(self._bounds_ms, span_ms)] += 1
         self._total_ms += span_ms
 
     def lines(self, name: str) -> Iterator[str]:
-        """Yield the lines of the text form, with bounds in ms."""
+        """Yield the lines of the text format, with bounds in ms.
+
+        :param name: the metric's name with its prefix.
+        """
         yield f'# TYPE {name} histogram'
         below = 0
         bounds = (*(f'{bound:g}' for bound in self._bounds_ms), '+Inf')
@@ -47,7 +55,12 @@
     gauges: Mapping[str, float],
     histograms: Mapping[str, Histogram],
 ) -> bytes:
-    """Return all measures as text."""
+    """Return metrics in the text format.
+
+    :param counters: values by name without the prefix.
+    :param gauges: values by name without the prefix.
+    :param histograms: histograms by name without the prefix.
+    """
     lines: list[str] = []
     for kind, numbers in (('counter', counters), ('gauge', gauges)):
         for name, number in numbers.items():
--- a/src/carobfork/gateway/servers.py
+++ b/src/carobfork/gateway/servers.py
@@ -1,7 +1,7 @@
-"""Servers: callers' connections, read within limits and watched for loss.
+"""Serve HTTP requests of callers within size and time limits.
 
-A caller that leaves is noticed while its request runs, since the backend
-server works on until its connection closes.
+A caller that disconnects is noticed while its request runs, because the
+backend server goes on with the call until its own connection is closed.
 """
 
 import contextlib
@@ -17,11 +17,14 @@
 from carobfork.gateway import exchanges, framing, relays, routes
 
 LINGER_TIMEOUT_MS = 500
-"""After a refusal before the body was read: so that the caller reads it."""
+"""How long unread input is drained after a request was refused unread.
+
+Closing earlier resets the connection, and the caller may lose the response.
+"""
 WRITE_TIMEOUT_MS = 5000
-"""A caller that reads nothing for so long is gone."""
+"""A caller that reads nothing for this long is treated as disconnected."""
 BODY_TIMEOUT_MS = 5000
-"""For the rest of a body after its head."""
+"""Least time that a caller has to send the body after the head."""
 REASON_PHRASES = {  # noqa: WPS407
     200: 'OK',
     400: 'Bad Request',
@@ -41,22 +44,23 @@
 
 
 class CallerGoneError(exceptions.UnknownOutcomeError):
-    """The caller has closed its connection."""
+    """The caller closed its connection before the response was complete."""
 
     code = 'caller_gone'
 
 
 class SocketResponseWriter:
-    """Write one response to a caller.
+    """Writer of one response to a caller.
 
     :param sock: the caller's connection.
-    :param closes: whether the connection ends after the response.
+    :param should_close: asked when the head is encoded; tells whether the
+        connection is closed after the response.
     """
 
     def __init__(
         self, sock: socket.socket, should_close: Callable[[], bool]
     ) -> None:
-        """Start with nothing sent."""
+        """Create a writer that has sent nothing."""
         self.has_begun = False
         self.is_complete = False
         self.closes_connection = False
@@ -67,7 +71,12 @@
     def respond(
         self, status: int, fields: list[tuple[str, str]], body: bytes
     ) -> None:
-        """Send a whole response."""
+        """Send a whole response.
+
+        :param status: HTTP status code.
+        :param fields: names and values of the headers.
+        :raises CallerGoneError: if the caller can't be written to.
+        """
         length = ('Content-Length', str(len(body)))
         head = self._encode(status, [*fields, length])
         self.has_begun = True
@@ -75,18 +84,28 @@
         self.is_complete = True
 
     def begin(self, status: int, fields: list[tuple[str, str]]) -> None:
-        """Prepare a head; it is sent with the first piece of the body."""
+        """Prepare the head, which is sent with the first piece of the body.
+
+        :param status: HTTP status code.
+        :param fields: names and values of the headers.
+        """
         chunked = ('Transfer-Encoding', 'chunked')
         self._head = self._encode(status, [*fields, chunked])
 
     def send(self, piece: bytes) -> None:
-        """Send a piece of the body."""
+        """Send a piece of the body as one chunk.
+
+        :raises CallerGoneError: if the caller can't be written to.
+        """
         head = b'' if self.has_begun else self._head
         self.has_begun = True
         self._write(head + framing.encode_chunk(piece))
 
     def end(self) -> None:
-        """End the body."""
+        """Send the last chunk, which ends the body.
+
+        :raises CallerGoneError: if the caller can't be written to.
+        """
         head = b'' if self.has_begun else self._head
         self.has_begun = True
         self._write(head + framing.LAST_CHUNK)
@@ -108,7 +127,14 @@
 
 @attrs.define
 class Counts:
-    """What a server has seen."""
+    """Connections and requests of a server.
+
+    :param connections: open connections of callers.
+    :param in_progress: requests that are being served.
+    :param answered: requests that were relayed and answered.
+    :param refused: requests that got an error response of this host.
+    :param broken: responses that broke off after they had begun.
+    """
 
     connections: int = 0
     in_progress: int = 0
@@ -118,12 +144,12 @@
 
 
 class Server:
-    """Accept callers' connections and serve their requests.
+    """HTTP server that accepts callers' connections and serves requests.
 
-    :param address: where to listen.
-    :param relay: answers requests.
-    :param timer: measures spans.
-    :param is_ready: tells whether callers should come here.
+    :param address: IP address and port to listen on.
+    :param relay: passes requests to backend servers.
+    :param timer: clock for arrival times.
+    :param is_ready: tells whether callers should connect to this host.
     """
 
     def __init__(
@@ -133,7 +159,7 @@
         timer: clock.Clock,
         is_ready: Callable[[], bool],
     ) -> None:
-        """Prepare the listener."""
+        """Create the listener without opening it."""
         self.counts = Counts()
         self._is_ready = is_ready
         self.is_leaving = False
@@ -144,17 +170,17 @@
 
     @property
     def limits(self) -> routes.CallerLimits:
-        """What callers may send by the configuration in force."""
+        """Limits on requests, from the configuration in force."""
         if self._relay.routes is None:
             return routes.CallerLimits()
         return self._relay.routes.limits
 
     def start(self) -> None:
-        """Begin to listen."""
+        """Start listening."""
         self._server.start()
 
     def stop_accepting(self) -> None:
-        """Close the listener and connections without a request."""
+        """Close the listener and the connections that have no request."""
         self._server.stop_accepting()
         self._server.close()
         for sock in list(self._idle):
@@ -179,8 +205,9 @@
     def _serve_request(
         self, sock: socket.socket, reader: framing.Reader
     ) -> bool:
-        """Serve one request; tell whether another may follow."""
-        # Callers that stay connected would not ask where to go instead.
+        """Serve one request and tell whether the connection stays open."""
+        # Callers on kept connections would not look up another host, so
+        # connections are closed while this host is not ready.
         response = SocketResponseWriter(sock, lambda: not self._is_ready())
         try:
             request = self._read(sock, reader)
@@ -247,9 +274,9 @@
     def _read(
         self, sock: socket.socket, reader: framing.Reader
     ) -> exchanges.Request | None:
-        """Read a request; nothing where the caller sends none.
+        """Read a request, or return None if the connection ended before one.
 
-        :raises BadRequestError: it is malformed, too large or too slow.
+        :raises BadRequestError: if it is malformed, too large or too slow.
         """
         limits = self.limits
         if not reader.buffered and not self._wait_for_byte(sock, reader):
@@ -260,7 +287,10 @@
             return None
         shape = framing.request_shape(head)
         if (shape.length or 0) > limits.body_bytes:
-            raise exceptions.TooLargeError('the body is too large', step='read')
+            raise exceptions.TooLargeError(
+                f'the body is longer than {limits.body_bytes} bytes',
+                step='read',
+            )
         if head.get('expect').lower() == '100-continue':
             sock.sendall(b'HTTP/1.1 100 Continue\r\n\r\n')
         with _time_limit(max(limits.head_ms, BODY_TIMEOUT_MS)):
@@ -270,7 +300,10 @@
     def _wait_for_byte(
         self, sock: socket.socket, reader: framing.Reader
     ) -> bool:
-        """Wait for the next request of a connection."""
+        """Wait for a request's first byte; return False at the end.
+
+        :raises OSError: if nothing arrives within the idle limit.
+        """
         self._idle.add(sock)
         sock.settimeout(clock.to_seconds(self.limits.idle_ms))
         try:
@@ -284,6 +317,10 @@
 
 @contextlib.contextmanager
 def _time_limit(span_ms: float) -> Iterator[None]:
+    """Limit how long the block takes.
+
+    :raises RequestTimeoutError: if it takes more than ``span_ms``.
+    """
     timeout = gevent.Timeout(clock.to_seconds(span_ms))
     try:
         with timeout:
@@ -292,23 +329,26 @@
         if expired is not timeout:
             raise
         raise exceptions.RequestTimeoutError(
-            f'the request took more than {span_ms:.0f} ms', step='read'
+            f'the request was not read within {span_ms:.0f} ms', step='read'
         ) from None
 
 
 @contextlib.contextmanager
 def _interrupt_on_disconnect(sock: socket.socket) -> Iterator[None]:
-    """Interrupt the block when the peer closes its connection."""
+    """Interrupt the block when the caller closes its connection.
+
+    :raises CallerGoneError: if the connection is closed.
+    """
     watcher = gevent.get_hub().loop.io(sock.fileno(), 1)
     greenlet = gevent.getcurrent()
 
     def on_readable() -> None:  # noqa: WPS430
         if _is_closed(sock):
             watcher.stop()
-            error = CallerGoneError('the caller left', step='relay')
+            error = CallerGoneError('the caller disconnected', step='relay')
             gevent.kill(greenlet, error)
         else:
-            # The next request is here already; it is read in its turn.
+            # A pipelined request has arrived; it is read after this one.
             watcher.stop()
 
     watcher.start(on_readable)
@@ -320,8 +360,10 @@
 
 
 def _is_closed(sock: socket.socket) -> bool:
+    """Tell whether the peer closed a connection, without reading from it."""
     flags = sockets.MSG_PEEK | sockets.MSG_DONTWAIT
     try:
+        # The underlying socket, since recv of gevent's would block.
         return not sock._sock.recv(1, flags)  # noqa: WPS437
     except BlockingIOError:
         return False
@@ -330,7 +372,10 @@
 
 
 def _linger(sock: socket.socket) -> None:
-    """Read what is left, so that closing does not reset the response."""
+    """Drain unread input, since closing with some of it resets the connection.
+
+    A reset can discard the response before the caller has read it.
+    """
     with contextlib.suppress(OSError):
         sock.shutdown(sockets.SHUT_WR)
         with gevent.Timeout(
--- a/tests/test_gateway_framing.py
+++ b/tests/test_gateway_framing.py
@@ -1,4 +1,8 @@
-"""Framing: heads and bodies, whole, cut, and meant to deceive."""
+"""Parsing of HTTP messages and event streams.
+
+Guards against request smuggling, where two parsers disagree on the end of a
+message, and against messages and events that are cut short unnoticed.
+"""
 
 import unittest
 
@@ -9,15 +13,15 @@
 
 
 def parse(text):
-    """Return the head of a request with these header lines."""
+    """Return the head of a request with the given header lines."""
     return framing.parse_head(f'POST / HTTP/1.1\r\n{text}'.encode('latin-1'))
 
 
 class HeadTest(unittest.TestCase):
-    """Heads and the lengths that they declare."""
+    """Message heads and the body lengths that they declare."""
 
     def test_ambiguous_lengths(self):
-        """Whatever two readers may frame differently is refused."""
+        """Lengths that two parsers may read differently are refused."""
         for text in (
             'Content-Length: 3\r\nTransfer-Encoding: chunked',
             'Content-Length: 3\r\nContent-Length: 4',
@@ -32,7 +36,7 @@
                 framing.request_shape(parse(text))
 
     def test_malformed_heads(self):
-        """Folded lines, blanks before colons and bare line ends."""
+        """Folded lines, spaces around names, bare newlines and NULs fail."""
         for text in (
             'A : b',
             ' A: b',
@@ -45,12 +49,12 @@
                 parse(text)
 
     def test_headers_of_one_connection(self):
-        """Those, and what Connection names, are not passed on."""
+        """Hop-by-hop headers and those that Connection names are dropped."""
         head = parse('Connection: keep-alive, X-Mine\r\nX-Mine: 1\r\nA: b')
         self.assertEqual(head.end_to_end(), [('A', 'b')])
 
     def test_bodies_of_responses(self):
-        """Without a length a response ends with its connection."""
+        """A response without a length ends with its connection."""
         head = framing.parse_head(b'HTTP/1.1 200 OK\r\nA: b')
         shape = framing.response_shape(head, 'GET')
         self.assertTrue(shape.ends_with_connection)
@@ -58,10 +62,10 @@
 
 
 class ReaderTest(unittest.TestCase):
-    """Messages read from a socket."""
+    """Messages that are read from a socket."""
 
     def reader(self, sent):
-        """Return a reader of these bytes and then the end."""
+        """Return a reader of a connection that ends after the given bytes."""
         ours, theirs = socket.socketpair()
         self.addCleanup(ours.close)
         theirs.sendall(sent)
@@ -69,7 +73,7 @@
         return framing.Reader(ours)
 
     def test_two_messages(self):
-        """What follows a body is the next head."""
+        """The head of the next message follows a body directly."""
         reader = self.reader(
             b'GET /1 HTTP/1.1\r\nContent-Length: 2\r\n\r\nab'
             b'GET /2 HTTP/1.1\r\nA: b\r\n\r\n'
@@ -81,7 +85,7 @@
         self.assertIsNone(reader.read_head(1000))
 
     def test_chunks(self):
-        """Chunks are joined; their trailer is dropped."""
+        """Chunks are joined, and extensions and trailers are dropped."""
         reader = self.reader(
             b'2\r\nab\r\n3;x=y\r\ncde\r\n0\r\nT: 1\r\n\r\nrest'
         )
@@ -90,21 +94,21 @@
         self.assertEqual(bytes(reader.buffered), b'rest')
 
     def test_bad_chunks(self):
-        """Sizes that are none, and chunks longer than they say."""
+        """Invalid sizes and chunks longer than their size are refused."""
         shape = framing.BodyShape(is_chunked=True)
         for sent in (b'0x2\r\nab\r\n', b'\r\n', b'1\r\nab\r\n', b'-1\r\n'):
             with self.subTest(sent), self.assertRaises(framing.FramingError):
                 self.reader(sent).read_body(shape, 10)
 
     def test_ends_inside(self):
-        """A connection that ends inside a message is an error."""
+        """A connection that ends inside a message raises EOFError."""
         with self.assertRaises(EOFError):
             self.reader(b'GET / HT').read_head(1000)
         with self.assertRaises(EOFError):
             self.reader(b'ab').read_body(framing.BodyShape(length=3), 10)
 
     def test_limits(self):
-        """Heads and bodies above their limits."""
+        """Heads and bodies above their limits are refused."""
         with self.assertRaises(framing.HeadTooLargeError):
             self.reader(b'GET / HTTP/1.1\r\nA: bbbb\r\n\r\n').read_head(9)
         with self.assertRaises(exceptions.TooLargeError):
@@ -112,10 +116,10 @@
 
 
 class EventsTest(unittest.TestCase):
-    """Events of a stream, in order and whole."""
+    """Events of a stream."""
 
     def test_cut_at_borders(self):
-        """Events come out whole, wherever the bytes were cut."""
+        """Events are complete wherever the received bytes are split."""
         raw = b'id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\nda'
         for cut in range(len(raw) + 1):  # noqa: WPS518
             splitter = events.EventSplitter()
@@ -125,12 +129,12 @@
             self.assertEqual(bytes(splitter.remainder), b'id: 3\nda')
 
     def test_data(self):
-        """The data of an event, its lines joined."""
+        """The data lines of an event are joined."""
         event = events.Event(b'x: 1\nid: 1\ndata: a b\ndata:c\n\n', 1)
         self.assertEqual(event.payload, b'a b\nc')
 
     def test_resumed_streams(self):
-        """Events that the caller has are left out; a gap is an error."""
+        """Events that the caller already has are skipped; gaps fail."""
         log = events.EventLog('3')
         self.assertFalse(log.accept(events.Event(b'', 3)))
         self.assertTrue(log.accept(events.Event(b'data: d\n\n', 4)))
--- a/tests/test_idle_hosts.py
+++ b/tests/test_idle_hosts.py
@@ -1,4 +1,8 @@
-"""Idle hosts: nothing is computed or asked while there is nothing to do."""
+"""Hosts without work use no CPU time and send no requests.
+
+Guards against loops that poll queues, the platform's store or the settings
+while nothing has changed, and against wake-ups that get lost as a result.
+"""
 
 import os
 import tempfile
@@ -40,16 +44,16 @@
 
 
 def yield_often():
-    """Let all greenlets run that can."""
+    """Yield until all runnable greenlets have run."""
     for _ in range(10):
         gevent.sleep(0)
 
 
 class QueueRunnerTest(unittest.TestCase):
-    """The greenlet that serves what waits at an entry host's desks."""
+    """The greenlet that serves the queues of an entry host."""
 
     def setUp(self):
-        """Start the greenlet, with one server of one slot."""
+        """Start the greenlet with one backend server of one slot."""
         timer = clock.ManualClock()
         self.table = workers.WorkerTable(timer)
         self.table.apply([ENTRY], was_unreachable=False)
@@ -62,12 +66,12 @@
         self.addCleanup(runner.kill)
 
     def submit(self, answers):
-        """Ask for a slot."""
+        """Submit a call that appends its outcome to ``answers``."""
         queued = queues.QueuedCall(calls.Call('x'), ROUTE, 3000, answers.append)
         self.admission.queue(SERVICE).submit(queued)
 
     def test_nothing_waits(self):
-        """Calls that get their slot at once wake nobody."""
+        """A call that gets its slot at once does not wake the greenlet."""
         answers = []
         yield_often()
         self.submit(answers)
@@ -76,7 +80,7 @@
         self.served.assert_not_called()
 
     def test_a_call_waits(self):
-        """A call that waits is served when a slot comes free elsewhere."""
+        """A queued call is served when the server reports a free slot."""
         worker = self.table.get('a')
         worker.update_load(1, 0)
         answers = []
@@ -87,10 +91,10 @@
 
 
 class StartTest(unittest.TestCase):
-    """Callers that come to an entry host that has just started."""
+    """Requests that reach an entry host before its first configuration."""
 
     def setUp(self):
-        """Send a request before the first configuration is known."""
+        """Send a request before a configuration is known."""
         self.timer = clock.ManualClock()
         self.relay = relays.Relay(
             heads,
@@ -104,18 +108,18 @@
         gevent.sleep(0)
 
     def outcome(self):
-        """Return why the request was refused."""
+        """Return the error with which the request was refused."""
         with self.assertRaises(exceptions.CarobforkError) as refused:
             self.caller.get(timeout=30)
         return refused.exception
 
     def test_a_configuration_in_time(self):
-        """It decides about the request that has waited for it."""
+        """The request waits for the configuration, which has no route."""
         self.relay.routes = routes.RouteTable(1, (), {}, routes.CallerLimits())
         self.assertEqual(self.outcome().http_status, 404)
 
     def test_no_configuration(self):
-        """The request is refused, with the time to come back."""
+        """The request is refused after the timeout, with a retry delay."""
         self.timer.advance(relays.STARTUP_TIMEOUT_MS + 1)
         refused = self.outcome()
         self.assertEqual(refused.outcome, exceptions.Outcome.not_run)
@@ -123,10 +127,14 @@
 
 
 class FollowerTest(unittest.TestCase):
-    """A host that is told by others does not ask the platform."""
+    """Followers of the platform's objects on an entry host.
+
+    Store hosts report these objects, so entry hosts must not load the
+    platform with requests of their own while the reports arrive.
+    """
 
     def test_not_needed(self):
-        """Nothing is listed before somebody needs it."""
+        """Objects are not listed before the follower is needed."""
         store = mock.Mock()
         needed = event.Event()
         follower = followers.Follower(store, 'k', mock.Mock(), needed)
@@ -140,10 +148,10 @@
 
 
 class ReloadTest(unittest.TestCase):
-    """Settings are parsed when the file has changed."""
+    """Reloading of the settings file, which is read periodically."""
 
     def test_an_unchanged_file(self):
-        """The same text is read and not parsed again."""
+        """Unchanged text is not parsed again."""
         with tempfile.NamedTemporaryFile('w') as written:
             written.write(SETTINGS)
             written.flush()
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -1,4 +1,10 @@
-"""Platform path: requests of all kinds through a deployment's hosts."""
+"""Requests of all kinds through the hosts of a complete deployment.
+
+Guards against faults that show only with all parts together: calls that run
+twice or are billed without having run, streams with gaps, wrong promises in
+refusals, and hosts that lose requests while they start, stop or lose contact
+with the platform.
+"""
 
 import contextlib
 import unittest
@@ -10,22 +16,22 @@
 
 
 class PathTest(platform_hosts.DeploymentCase):
-    """One deployment for all cases that don't disturb each other."""
+    """Requests to one deployment that all cases share."""
 
     def set_faults(self, prefix, **faults):
-        """Disturb the backends whose names begin so."""
+        """Inject faults into the backend servers with a name prefix."""
         for instance, backend in self.hosts.backends.items():
             if instance.startswith(prefix):
                 for name, setting in faults.items():
                     setattr(backend.faults, name, setting)
 
     def cancelled(self):
-        """Return how many streams were cancelled."""
+        """Return how many streams the backend servers saw cancelled."""
         backends = self.hosts.backends.values()
         return sum(backend.cancelled for backend in backends)
 
     def test_a_call_reaches_its_service_unchanged(self):
-        """The longest prefix routes; body and signature stay as they are."""
+        """The longest prefix routes; body and response headers are kept."""
         attempt = plain_calls.new_attempt()
         answer = self.hosts.ask(
             '/order/7?a=b', method='POST', body=b'{}', attempt=attempt
@@ -40,7 +46,7 @@
         self.assertEqual(bodies, [b'{}'])
 
     def test_headers_of_the_system_are_not_the_callers(self):
-        """What only the system may set does not pass."""
+        """Headers that only the system may set are not passed on."""
         attempt = plain_calls.new_attempt()
         headers = {'X-Hold': 'h', 'Kv-From': 'a', 'X-Expect-Instance': 'e9'}
         answer = self.hosts.ask('/look/1', headers=headers, attempt=attempt)
@@ -55,11 +61,11 @@
         self.assertLessEqual(int(seen['X-Deadline-Ms']), 3000)
 
     def test_no_route(self):
-        """A path that no route has is answered 404."""
+        """A path without a route is answered 404."""
         self.assertEqual(self.hosts.ask('/none/1').status, 404)
 
     def test_a_turn_gets_its_history(self):
-        """The backend gets inputs and outputs before, then the new input."""
+        """The backend server gets the conversation, then the new input."""
         first = plain_calls.new_attempt()
         answer = self.hosts.turn('p1', body=b'one', attempt=first)
         self.assertTrue(answer.is_whole)
@@ -73,7 +79,7 @@
         self.assertIn(b'oneword1\nword2\nword3\nword4\ntwo', bodies)
 
     def test_an_unknown_turn(self):
-        """A turn that never was is answered 404 and reaches no backend."""
+        """A turn after an unknown one gets 404 and reaches no server."""
         attempt = plain_calls.new_attempt()
         headers = {'X-Previous-Turn': 'never'}
         answer = self.hosts.turn('p2', attempt=attempt, headers=headers)
@@ -81,7 +87,7 @@
         self.assertEqual(self.hosts.runs(attempt), 0)
 
     def test_a_broken_turn_is_not_kept(self):
-        """A stream that breaks off ends visibly and can't be continued."""
+        """A broken stream ends incomplete and its turn is not retained."""
         self.set_faults('e', break_after=2)
         attempt = plain_calls.new_attempt()
         answer = self.hosts.turn('p3', body=b'x', attempt=attempt)
@@ -92,14 +98,14 @@
         self.assertEqual(follower.status, 404)
 
     def test_budgets_end(self):
-        """Turns run until the budget holds no further one."""
+        """Turns run until the rest of the budget is too small for one."""
         statuses = [
             self.hosts.turn('p4', budget=100, most=40).status for _ in range(4)
         ]
         self.assertEqual(statuses, [200, 200, 402, 402])
 
     def test_refused_turns_cost_nothing(self):
-        """A turn that no backend ran does not count in the budget."""
+        """A turn that no backend server ran is not charged to the budget."""
         self.set_faults('e', full=True)
         refused = self.hosts.turn('p5', budget=100, most=80)
         self.assertEqual(refused.status, 429)
@@ -110,7 +116,7 @@
         )
 
     def test_resumed_streams_have_no_seam(self):
-        """A resumable stream goes on elsewhere behind its last event."""
+        """A resumable stream continues after its last event elsewhere."""
         attempt = plain_calls.new_attempt()
         self.set_faults('e0', break_after=2)
         self.set_faults('e1', break_after=3)
@@ -122,7 +128,7 @@
         self.assertEqual(numbers, sorted(set(numbers)))
 
     def test_an_unsafe_call_is_sent_once(self):
-        """A lost answer is reported as unknown and not sent again."""
+        """A call whose answer is lost is reported as unknown, not resent."""
         self.set_faults('t', stray_attempt='other')
         attempt = plain_calls.new_attempt()
         answer = self.hosts.ask('/order/1', method='POST', attempt=attempt)
@@ -130,7 +136,7 @@
         self.assertEqual(self.hosts.runs(attempt), 1)
 
     def test_a_safe_call_is_repeated(self):
-        """A safe call goes to another backend when the first one fails."""
+        """A safe call is retried on another server if the first one fails."""
         self.set_faults('t', drop_answer=True)
         attempt = plain_calls.new_attempt()
         answer = self.hosts.ask('/look/1', attempt=attempt)
@@ -138,7 +144,7 @@
         self.assertEqual(self.hosts.runs(attempt), 2)
 
     def test_full_backends_refuse_truly(self):
-        """A refusal says when to come back, and nothing has run."""
+        """A refusal states a retry delay, and the call has not run."""
         self.set_faults('t', full=True)
         attempt = plain_calls.new_attempt()
         answer = self.hosts.ask('/order/1', method='POST', attempt=attempt)
@@ -147,13 +153,13 @@
         self.assertEqual(self.hosts.runs(attempt), 0)
 
     def test_the_time_of_a_route_is_kept(self):
-        """A call that runs too long gets its final answer."""
+        """A call that exceeds its route's timeout is answered 504."""
         self.set_faults('t', delay_ms=2000)
         answer = self.hosts.ask('/order/slow/1', method='POST')
         self.assertEqual(answer.status, 504)
 
     def test_a_caller_that_leaves(self):
-        """The backend's stream is cancelled when its caller is gone."""
+        """The stream is cancelled when its caller disconnects."""
         self.set_faults('e', delay_ms=300)
         address = self.hosts.address('front-0')
         before = self.cancelled()
@@ -174,7 +180,7 @@
         )
 
     def test_measures(self):
-        """Counts, gauges and latencies are served as text."""
+        """Counters, gauges and histograms are served as text."""
         front = self.hosts.fronts['front-0']
         self.hosts.ask('/look/1')
         address = ('127.0.0.1', front.settings.inner_ports[0] + 1)
@@ -186,7 +192,7 @@
         self.assertEqual(len(lost), 1)
 
     def test_two_lengths_are_refused(self):
-        """A request that could hide another one is not passed on."""
+        """A request with two body lengths is refused and not passed on."""
         attempt = plain_calls.new_attempt()
         headers = {'Content-Length': '3', 'Transfer-Encoding': 'chunked'}
         answer = self.hosts.ask('/order/1', headers=headers, attempt=attempt)
@@ -194,16 +200,16 @@
         self.assertEqual(self.hosts.runs(attempt), 0)
 
     def test_large_bodies_are_refused(self):
-        """A body above the configured limit is answered 413."""
+        """A body longer than the configured limit is answered 413."""
         answer = self.hosts.ask('/order/1', method='POST', body=b'x' * 100_001)
         self.assertEqual(answer.status, 413)
 
 
 class ChangeTest(unittest.TestCase):
-    """Deployments that change while they serve."""
+    """Deployments whose objects or hosts change while they serve."""
 
     def test_draining_backends_get_nothing(self):
-        """A backend that leaves gets no new call."""
+        """A backend server that is draining gets no new calls."""
         with platform_hosts.Deployment(stores=2) as hosts:
             hosts.register('t0', configurations.TOOLS, State='draining')
             table = hosts.fronts['front-0'].table
@@ -213,7 +219,7 @@
             self.assertFalse(hosts.backends['t0'].runs)
 
     def test_unreadable_entries_name_no_backend(self):
-        """An entry of another writer is left out; the others hold."""
+        """Malformed backend server entries are skipped, others are used."""
         with platform_hosts.Deployment(stores=2) as hosts:
             hosts.store.put('servers', 'odd', {'Service': 5, 'Slots': 'many'})
             hosts.store.put('servers', 'worse', 'no map')
@@ -225,7 +231,7 @@
             self.assertEqual(hosts.ask('/look/1').status, 200)
 
     def test_configurations_never_go_back(self):
-        """A newer configuration is taken at once, an older one never."""
+        """A newer configuration is applied, an older one is ignored."""
         with platform_hosts.Deployment(stores=2) as hosts:
             front = hosts.fronts['front-0']
             hosts.store.put('config', 'main', configurations.configuration(9))
@@ -237,7 +243,7 @@
             self.assertEqual(front.relay.routes.version, 9)
 
     def test_a_start_in_an_outage(self):
-        """An entry host recalls from store hosts what the platform hides."""
+        """In a platform outage an entry host starts from store hosts' data."""
         with platform_hosts.Deployment() as hosts:
             hosts.store.faults.down = True
             hosts.stop_front('front-0')
@@ -245,7 +251,7 @@
             self.assertEqual(hosts.ask('/look/1').status, 200)
 
     def test_a_host_that_is_cut_off_sends_callers_away(self):
-        """It serves what needs no store host, and keeps no connection."""
+        """Without store hosts it serves plain calls, then disconnects."""
         with platform_hosts.Deployment(stores=2) as hosts:
             front = hosts.fronts['front-0']
             for link in front.links.all():
@@ -256,7 +262,7 @@
             self.assertEqual(answer.head.get('connection'), 'close')
 
     def test_leaving_hosts_finish(self):
-        """A host that stops is not ready, and ends what it has begun."""
+        """A stopping host is not ready, but completes running requests."""
         with platform_hosts.Deployment(stores=2) as hosts:
             front = hosts.fronts['front-0']
             for instance in ('e0', 'e1'):
