--- a/src/carobfork/platform/decoding.py
+++ b/src/carobfork/platform/decoding.py
@@ -117,7 +117,7 @@
         )
 
 
-def encode_note(
+def encode_snapshot(
     found: Sequence[StoredObject], revision: int
 ) -> snapshots.Snapshot:
     """Return objects in a form that ``decode_note`` reads."""
@@ -130,7 +130,7 @@
     )
 
 
-def decode_note(note: snapshots.Snapshot) -> list[StoredObject]:
+def decode_snapshot(snapshot: snapshots.Snapshot) -> list[StoredObject]:
     """Return objects that another host has kept.
 
     :raises BadRequestError: they are malformed.
@@ -138,7 +138,7 @@
     try:
         return [
             msgspec.msgpack.decode(content, type=StoredObject)
-            for _revision, content in note.entries.values()
+            for _revision, content in snapshot.entries.values()
         ]
     except msgspec.MsgspecError as error:
         raise exceptions.BadRequestError(
@@ -165,13 +165,13 @@
     except _MALFORMED as error:
         logger.warning('unreadable entry', name=stored.name, reason=repr(error))
         return None
-    if spec['State'] not in _STATES or not _is_sound(entry):
+    if spec['State'] not in _STATES or not _is_valid(entry):
         logger.warning('entry of unknown form', name=stored.name)
         return None
     return entry
 
 
-def _is_sound(entry: workers.Entry) -> bool:
+def _is_valid(entry: workers.Entry) -> bool:
     texts = (entry.service, entry.zone, entry.ip)
     if not all(isinstance(text, str) and text for text in texts):
         return False
--- a/src/carobfork/platform/endpoints.py
+++ b/src/carobfork/platform/endpoints.py
@@ -11,7 +11,7 @@
 from carobfork import exceptions
 from carobfork.gateway import framing, servers
 
-IDLE_SECONDS = 30
+CONNECTION_TIMEOUT_SECONDS = 30
 _UNAVAILABLE = 503
 _NOT_FOUND = 404
 _HEAD_BYTES = 16_384
@@ -48,7 +48,7 @@
     def _serve(self, sock: socket.socket, _address: tuple) -> None:
         reader = framing.Reader(sock)
         try:
-            with gevent.Timeout(IDLE_SECONDS, exception=False):
+            with gevent.Timeout(CONNECTION_TIMEOUT_SECONDS, exception=False):
                 is_open = True
                 while is_open:
                     is_open = self._serve_one(sock, reader)
@@ -61,12 +61,12 @@
         head = reader.read_head(_HEAD_BYTES)
         if head is None:
             return False
-        asked = urlsplit(head.first[1])
-        endpoint = self._endpoints.get(asked.path)
+        url = urlsplit(head.first[1])
+        endpoint = self._endpoints.get(url.path)
         if endpoint is None:
             status, kind, body = _NOT_FOUND, 'text/plain', b'no such page\n'
         else:
-            status, kind, body = endpoint(dict(parse_qsl(asked.query)))
+            status, kind, body = endpoint(dict(parse_qsl(url.query)))
         phrase = servers.REASON_PHRASES.get(status, 'Status')
         fields = [('Content-Type', kind), ('Content-Length', str(len(body)))]
         sock.sendall(
--- a/src/carobfork/platform/followers.py
+++ b/src/carobfork/platform/followers.py
@@ -12,7 +12,7 @@
 from carobfork.platform import decoding, objects
 
 FIRST_RETRY_MS = 100
-LONGEST_RETRY_MS = 800
+MAX_RETRY_MS = 800
 """Short against the time in which a configuration must be in force."""
 
 logger = structlog.get_logger(part='platform')
@@ -23,12 +23,12 @@
     """All present objects of a kind.
 
     :param revision: the store's revision at which they were seen.
-    :param was_away: whether the store was out of reach before.
+    :param was_unreachable: whether the store was out of reach before.
     """
 
-    present: list[decoding.StoredObject]
+    stored_objects: list[decoding.StoredObject]
     revision: int
-    was_away: bool = False
+    was_unreachable: bool = False
 
 
 OnSnapshot = Callable[[Snapshot], None]
@@ -86,28 +86,28 @@
             self._needed.wait()
 
     def _step(self) -> None:
-        was_away = self._failures > 0
+        was_unreachable = self._failures > 0
         if self._revision is None:
             listing = self._store.list(self._kind)
             self._present = {entry.name: entry for entry in listing.items}
             self._revision = listing.revision
-            self._report(was_away)
+            self._report(was_unreachable)
             return
         changes = self._store.watch(self._kind, self._revision)
         for stored, is_removed in changes.events:
             self._apply(stored, is_removed)
         self._revision = changes.revision
-        if changes.events or was_away:
-            self._report(was_away)
+        if changes.events or was_unreachable:
+            self._report(was_unreachable)
 
-    def _report(self, was_away: bool) -> None:
-        if was_away:
+    def _report(self, was_unreachable: bool) -> None:
+        if was_unreachable:
             logger.info(
                 'platform regained', kind=self._kind, failures=self._failures
             )
         self._failures = 0
         present = list(self._present.values())
-        self._on_snapshot(Snapshot(present, self._revision, was_away))
+        self._on_snapshot(Snapshot(present, self._revision, was_unreachable))
 
     def _apply(self, stored: decoding.StoredObject, is_removed: bool) -> None:
         known = self._present.get(stored.name)
@@ -123,6 +123,6 @@
             logger.warning(
                 'platform lost', kind=self._kind, reason=error.message
             )
-        pause_ms = min(FIRST_RETRY_MS * 2**self._failures, LONGEST_RETRY_MS)
+        pause_ms = min(FIRST_RETRY_MS * 2**self._failures, MAX_RETRY_MS)
         self._failures = min(self._failures + 1, 10)
         gevent.sleep(clock.to_seconds(pause_ms * random.uniform(0.5, 1)))
--- a/src/carobfork/platform/heads.py
+++ b/src/carobfork/platform/heads.py
@@ -26,14 +26,14 @@
         deadline_ms=_number(head.get(names.DEADLINE)),
         program=head.get(names.PROGRAM),
         session=head.get(names.SESSION),
-        program_deadline_ms=_number(head.get(names.FINISH)),
+        program_deadline_ms=_number(head.get(names.PROGRAM_DEADLINE)),
         budget_tokens=_whole(head.get(names.BUDGET)),
         prompt_tokens=_whole(prompt) or 0,
         output_tokens=_whole(output) or 0,
-        previous_turn=head.get(names.PREVIOUS),
+        previous_turn=head.get(names.PREVIOUS_TURN),
         last_event=head.get(names.LAST_EVENT),
         affinity=_cookie(head.get_all('cookie'), names.AFFINITY_COOKIE),
-        prefix=_prefix(head.get(names.PREFIX)),
+        prefix=_prefix(head.get(names.PROMPT_PREFIX)),
     )
 
 
--- a/src/carobfork/platform/objects.py
+++ b/src/carobfork/platform/objects.py
@@ -17,18 +17,18 @@
 CONNECT_TIMEOUT_MS = 1000
 CALL_TIMEOUT_MS = 2500
 """Above the slowest answers of a slow day, below the time to be in touch."""
-WATCH_MS = 20_000
+WATCH_TIMEOUT_MS = 20_000
 """A watch is priced when it is made; probes show a dead connection sooner."""
 WATCH_SLACK_MS = 2500
-PROBE_SECONDS = 1
-PROBES = 2
+KEEPALIVE_SECONDS = 1
+KEEPALIVE_PROBES = 2
 MAX_ANSWER_BYTES = 8_388_608
-_OK = 300
+_REDIRECT_STATUS = 300
 _NOT_FOUND = 404
 _CONFLICT = 409
 _GONE = 410
 _STEP = 'platform call'
-_BROKEN = (OSError, EOFError, ValueError, exceptions.BadRequestError)
+_CALL_ERRORS = (OSError, EOFError, ValueError, exceptions.BadRequestError)
 
 logger = structlog.get_logger(part='platform')
 
@@ -93,8 +93,8 @@
         """
         page = self._call(
             'GET',
-            f'/objects/{kind}?Watch={revision}&WaitMs={WATCH_MS}',
-            timeout_ms=WATCH_MS + WATCH_SLACK_MS,
+            f'/objects/{kind}?Watch={revision}&WaitMs={WATCH_TIMEOUT_MS}',
+            timeout_ms=WATCH_TIMEOUT_MS + WATCH_SLACK_MS,
         )
         events = []
         for event in page.get('events') or ():
@@ -143,9 +143,9 @@
         call = f'{method} {path}'
         try:
             status, answer = self._exchange(method, path, body, timeout_ms)
-        except _BROKEN as error:
+        except _CALL_ERRORS as error:
             raise self._failure(f'{call}: {error}') from error
-        if status >= _OK:
+        if status >= _REDIRECT_STATUS:
             raise self._refusal(call, status)
         return answer
 
@@ -175,7 +175,7 @@
             shape = framing.response_shape(answer, method)
             content = reader.read_body(shape, MAX_ANSWER_BYTES)
         status = int(answer.first[1])
-        if status >= _OK or not content:
+        if status >= _REDIRECT_STATUS or not content:
             return status, None
         return status, msgspec.json.decode(content)
 
@@ -188,9 +188,9 @@
         # A connection may go silent for good; only probes show it.
         connected.setsockopt(sockets.SOL_SOCKET, sockets.SO_KEEPALIVE, 1)
         for option, setting in (
-            (sockets.TCP_KEEPIDLE, PROBE_SECONDS),
-            (sockets.TCP_KEEPINTVL, PROBE_SECONDS),
-            (sockets.TCP_KEEPCNT, PROBES),
+            (sockets.TCP_KEEPIDLE, KEEPALIVE_SECONDS),
+            (sockets.TCP_KEEPINTVL, KEEPALIVE_SECONDS),
+            (sockets.TCP_KEEPCNT, KEEPALIVE_PROBES),
             (sockets.TCP_USER_TIMEOUT, CALL_TIMEOUT_MS),
         ):
             connected.setsockopt(sockets.IPPROTO_TCP, option, setting)
--- a/src/carobfork/platform/registers.py
+++ b/src/carobfork/platform/registers.py
@@ -46,10 +46,10 @@
         """Return the group and its revision, as last seen."""
         return self._group, self._revision
 
-    def take(self, seen: followers.Snapshot) -> None:
+    def update(self, seen: followers.Snapshot) -> None:
         """Take the objects of the group's kind."""
         self._was_read = True
-        for stored in seen.present:
+        for stored in seen.stored_objects:
             if stored.name == GROUP_NAME:
                 self._group = decode_group(stored)
                 self._revision = stored.revision
@@ -80,13 +80,17 @@
         self._request: decoding.StoredObject | None = None
 
     @property
-    def is_asked(self) -> bool:
+    def is_requested(self) -> bool:
         """Whether the host is to be emptied."""
         return self._request is not None
 
-    def take(self, seen: followers.Snapshot) -> None:
+    def update(self, seen: followers.Snapshot) -> None:
         """Take the objects of the retirements' kind."""
-        mine = [stored for stored in seen.present if stored.name == self._node]
+        mine = [
+            stored
+            for stored in seen.stored_objects
+            if stored.name == self._node
+        ]
         self._request = mine[0] if mine else None
 
     def report(self, is_done: bool) -> None:
--- a/src/carobfork/platform/settings.py
+++ b/src/carobfork/platform/settings.py
@@ -13,7 +13,7 @@
 SETTINGS_VARIABLE = 'CAROBFORK_SETTINGS'
 _STEP = 'read settings'
 _MALFORMED = (AttributeError, KeyError, TypeError, ValueError)
-DRAIN_MS = 2000
+DEFAULT_DRAIN_MS = 2000
 """Where the file doesn't tell: short, so that no call comes too late."""
 
 Address = tuple[str, int]
@@ -51,7 +51,7 @@
     data_folder: str = ''
     losses: int = 1
     grace_ms: float = 8000
-    drain_ms: float = DRAIN_MS
+    drain_ms: float = DEFAULT_DRAIN_MS
     directory_ttl_ms: float = 5000
     memory_mb: int = 0
     max_descriptors: int = 1024
@@ -112,7 +112,7 @@
         data_folder=fields.get('DataDir') or '',
         losses=(fields.get('Tolerate') or {}).get('Machines', 1),
         grace_ms=bounds.get('GraceS', 8) * clock.MS_PER_SECOND,
-        drain_ms=bounds.get('DrainMs', DRAIN_MS),
+        drain_ms=bounds.get('DrainMs', DEFAULT_DRAIN_MS),
         directory_ttl_ms=bounds.get('ttl_max_s', 5) * clock.MS_PER_SECOND,
         memory_mb=limits.get('MemoryMb', 0),
         max_descriptors=limits.get('MaxFds', 1024),
--- a/src/carobfork/roles/__main__.py
+++ b/src/carobfork/roles/__main__.py
@@ -21,10 +21,12 @@
 def run(name: str) -> None:
     """Run a role until SIGTERM or SIGINT."""
     importlib.import_module(f'carobfork.roles.{name}')
-    known = settings.load()
+    host_settings = settings.load()
     host_logs.configure()
-    logger.info('start', role=name, node=known.node, zone=known.zone)
-    host = hosts.ROLES[name](known)
+    logger.info(
+        'start', role=name, node=host_settings.node, zone=host_settings.zone
+    )
+    host = hosts.ROLES[name](host_settings)
     stopped = event.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, stopped.set)
--- a/src/carobfork/roles/front.py
+++ b/src/carobfork/roles/front.py
@@ -19,15 +19,15 @@
 from carobfork.roles import hosts, updates
 from carobfork.storage import clients, groups, links, messages
 
-TRIM_EVERY_MS = 500
-CHECK_EVERY_MS = 250
+POOL_TRIM_INTERVAL_MS = 500
+NEWS_CHECK_INTERVAL_MS = 250
 """A beat: between looks at what store hosts tell."""
-RECALL_EVERY_MS = 100
+RECALL_INTERVAL_MS = 100
 """Between questions to a seed: callers wait for a host that starts."""
-LEAVE_PART = 0.38
+LEAVE_RATIO = 0.38
 """Of the grace time in which new requests are still served."""
-MOST_LEAVE_MS = 3000
-FINISH_PART = 0.9
+MAX_LEAVE_MS = 3000
+FINISH_RATIO = 0.9
 """Of the grace time, after which what still runs is cut off."""
 DIRECTORY_TTL_MS = 1000
 """Short: callers leave a lost host within it; asking again is cheap."""
@@ -42,41 +42,50 @@
     :param known: the settings.
     """
 
-    def __init__(self, known: settings.HostSettings) -> None:
+    def __init__(self, host_settings: settings.HostSettings) -> None:
         """Wire the parts."""
-        super().__init__(known)
-        ip, port = known.front
+        super().__init__(host_settings)
+        ip, port = host_settings.front
         self.directory = directories.Directory(
-            known.node, known.zone, f'{ip}:{port}', self.timer
+            host_settings.node, host_settings.zone, f'{ip}:{port}', self.timer
         )
         self.table = workers.WorkerTable(self.timer)
         self.links = links.Links(
             self.timer,
-            links.Heartbeats(self._compose, self._take_answer, self._pace_ms),
+            links.Heartbeats(
+                self._build_report,
+                self._apply_answer,
+                self._heartbeat_interval_ms,
+            ),
         )
         self.storage = clients.Client(
-            self.links, known.losses, known.node, known.zone, self.timer
+            self.links,
+            host_settings.losses,
+            host_settings.node,
+            host_settings.zone,
+            self.timer,
         )
         self.relay = relays.Relay(
             heads, self.table, turns.TurnManager(self.storage), self.timer
         )
         self.server = servers.Server(
-            known.front, self.relay, self.timer, self.is_ready
+            host_settings.front, self.relay, self.timer, self.is_ready
         )
         self.updates = updates.Updates(
-            updates.Learners(self.relay, self.table, self.storage), self.timer
+            updates.UpdateTargets(self.relay, self.table, self.storage),
+            self.timer,
         )
         self._endpoints = [
             endpoints.EndpointServer(
-                known.ready, endpoints.ready_endpoint(self.is_ready)
+                host_settings.ready, endpoints.ready_endpoint(self.is_ready)
             ),
             endpoints.EndpointServer(
-                known.directory,
+                host_settings.directory,
                 endpoints.directory_endpoint(
                     lambda zone: self.directory.addresses(
                         zone, self.is_ready()
                     ),
-                    min(DIRECTORY_TTL_MS, known.directory_ttl_ms),
+                    min(DIRECTORY_TTL_MS, host_settings.directory_ttl_ms),
                 ),
             ),
         ]
@@ -87,13 +96,15 @@
             self.follow(kind, take, needed=self.updates.needed)
         for seed in self.settings.seeds:
             self.spawn(functools.partial(self._recall_until_known, seed))
-        self.repeat(self.updates.check, CHECK_EVERY_MS)
+        self.repeat(self.updates.check, NEWS_CHECK_INTERVAL_MS)
         self.spawn(self.relay.admission.run)
-        self.repeat(self.relay.exchanger.pool.close_expired, TRIM_EVERY_MS)
+        self.repeat(
+            self.relay.exchanger.pool.close_expired, POOL_TRIM_INTERVAL_MS
+        )
         for endpoint in self._endpoints:
             endpoint.start()
         self.server.start()
-        self.serve_measures()
+        self.serve_metrics()
         return self
 
     def __exit__(self, *failure) -> None:
@@ -117,15 +128,15 @@
     def stop(self) -> None:
         """Leave: callers go elsewhere, and what runs is finished."""
         grace_ms = self.settings.grace_ms
-        leave_ms = min(grace_ms * LEAVE_PART, MOST_LEAVE_MS)
-        until_ms = self.timer.now_ms() + grace_ms * FINISH_PART
+        leave_ms = min(grace_ms * LEAVE_RATIO, MAX_LEAVE_MS)
+        until_ms = self.timer.now_ms() + grace_ms * FINISH_RATIO
         self.server.is_leaving = True
         gevent.sleep(clock.to_seconds(leave_ms))
         self.server.stop_accepting()
         while self.server.counts.in_progress and self.timer.now_ms() < until_ms:
             gevent.sleep(clock.to_seconds(admissions.PROCESS_INTERVAL_MS))
 
-    def render_measures(self) -> bytes:
+    def render_metrics(self) -> bytes:
         """Return the entry host's counts and latencies as text."""
         counts = self.server.counts
         counters = {
@@ -152,7 +163,7 @@
         }
         return metrics.render(counters, gauges, histograms)
 
-    def _compose(
+    def _build_report(
         self, member: groups.Member
     ) -> messages.Presence | messages.Beat:
         """Return what a store host is told: all goes to the nearest one."""
@@ -172,7 +183,7 @@
             self.table.suspects(),
         )
 
-    def _pace_ms(self, member: groups.Member) -> float:
+    def _heartbeat_interval_ms(self, member: groups.Member) -> float:
         if member.disk != self.storage.nearest_disk():
             return links.IDLE_HEARTBEAT_INTERVAL_MS
         is_busy = (
@@ -184,29 +195,29 @@
             else links.HEARTBEAT_INTERVAL_MS
         )
 
-    def _take_answer(
-        self, member: groups.Member, told: messages.Hosts | messages.News
+    def _apply_answer(
+        self, member: groups.Member, answer: messages.Hosts | messages.News
     ) -> None:
-        news = told
-        if isinstance(told, messages.Hosts):
-            self.directory.update(told)
+        news = answer
+        if isinstance(answer, messages.Hosts):
+            self.directory.update(answer)
             is_near = self.directory.is_zone_self_sufficient
             self.table.prefer_zone(self.settings.zone if is_near else '')
-            self.table.update_remote_load(told.in_flight, told.waiting)
-            self.table.update_suspects(told.suspects)
-            news = told.news
-        self.updates.take_news(self.links.get(member.disk), news)
+            self.table.update_remote_load(answer.in_flight, answer.waiting)
+            self.table.update_suspects(answer.suspects)
+            news = answer.news
+        self.updates.apply_news(self.links.get(member.disk), news)
 
     def _recall_until_known(self, seed: settings.Address) -> None:
         """Ask a store host until this host knows enough to serve."""
         while not self.updates.is_complete:
             self._recall(seed)
-            gevent.sleep(clock.to_seconds(RECALL_EVERY_MS))
+            gevent.sleep(clock.to_seconds(RECALL_INTERVAL_MS))
 
     def _recall(self, seed: settings.Address) -> None:
         try:
-            told = links.request_once(seed, messages.Recall())
+            recalled = links.request_once(seed, messages.Recall())
         except (OSError, exceptions.BadRequestError) as error:
             logger.info('nothing recalled', peer=seed, reason=str(error))
             return
-        self.updates.take_recalled(told)
+        self.updates.apply_recalled(recalled)
--- a/src/carobfork/roles/hosts.py
+++ b/src/carobfork/roles/hosts.py
@@ -36,19 +36,19 @@
     :param known: the settings.
     """
 
-    def __init__(self, known: settings.HostSettings) -> None:
+    def __init__(self, host_settings: settings.HostSettings) -> None:
         """Start nothing yet."""
-        self.settings = known
-        self.store = objects.ObjectStore(known.platform)
+        self.settings = host_settings
+        self.store = objects.ObjectStore(host_settings.platform)
         self.timer = clock.SystemClock()
         self._settings_text = ''
         self._greenlets: list[gevent.Greenlet] = []
         self._metrics = endpoints.EndpointServer(
-            (known.ip, known.inner_ports[0] + 1),
-            endpoints.metrics_endpoint(self.render_measures),
+            (host_settings.ip, host_settings.inner_ports[0] + 1),
+            endpoints.metrics_endpoint(self.render_metrics),
         )
 
-    def render_measures(self) -> bytes:
+    def render_metrics(self) -> bytes:
         """Return the host's counts and latencies as text."""
         counters = {
             'platform_calls': self.store.calls,
@@ -56,7 +56,7 @@
         }
         return metrics.render(counters, {}, {})
 
-    def serve_measures(self) -> None:
+    def serve_metrics(self) -> None:
         """Serve counts and latencies on the second inner port."""
         try:
             self._metrics.start()
--- a/src/carobfork/roles/store.py
+++ b/src/carobfork/roles/store.py
@@ -38,33 +38,39 @@
     :param known: the settings.
     """
 
-    def __init__(self, known: settings.HostSettings) -> None:
+    def __init__(self, host_settings: settings.HostSettings) -> None:
         """Open the disk and wire the parts."""
-        super().__init__(known)
-        folder = pathlib.Path(known.data_folder)
+        super().__init__(host_settings)
+        folder = pathlib.Path(host_settings.data_folder)
         self.disk = disks.Disk(folder, clock.WallClock())
-        self.keeper = replicas.Replica(self.disk)
-        address = known.control or (known.ip, known.inner_ports[0])
-        self.listener = listeners.Listener(address, self.keeper)
+        self.replica = replicas.Replica(self.disk)
+        address = host_settings.control or (
+            host_settings.ip,
+            host_settings.inner_ports[0],
+        )
+        self.listener = listeners.Listener(address, self.replica)
         self.register = registers.GroupRegister(self.store)
-        self.retirement = registers.Retirement(self.store, known.node)
+        self.retirement = registers.Retirement(self.store, host_settings.node)
         self.links = links.Links(
             self.timer,
             links.Heartbeats(
-                lambda _member: self.keeper.status_exchange.build_report(),
-                self._take_news,
-                self._pace_ms,
+                lambda _member: self.replica.status_exchange.build_report(),
+                self._apply_news,
+                self._heartbeat_interval_ms,
             ),
         )
         self.membership = memberships.Membership(
             groups.Member(
-                known.node, self.disk.identity.disk, *address, known.zone
+                host_settings.node,
+                self.disk.identity.disk,
+                *address,
+                host_settings.zone,
             ),
-            self.keeper,
+            self.replica,
             self.register,
             self.links,
-            known.losses,
-            lambda: self.retirement.is_asked,
+            host_settings.losses,
+            lambda: self.retirement.is_requested,
         )
 
     def __enter__(self) -> 'StoreRole':
@@ -72,25 +78,25 @@
         self.listener.start()
         self.spawn(self.disk.run)
         self.spawn(self.disk.run_expiry)
-        self.follow(names.KIND_STORAGE, self.register.take)
-        self.follow(names.KIND_RETIREMENTS, self.retirement.take)
-        noted = [
-            self.follow(kind, functools.partial(self._note, kind))
+        self.follow(names.KIND_STORAGE, self.register.update)
+        self.follow(names.KIND_RETIREMENTS, self.retirement.update)
+        platform_followers = [
+            self.follow(kind, functools.partial(self._update_snapshot, kind))
             for kind in (names.KIND_CONFIG, names.KIND_SERVERS)
         ]
-        self.keeper.status_exchange.is_following = lambda: all(
-            follower.is_fresh for follower in noted
+        self.replica.status_exchange.is_following = lambda: all(
+            follower.is_fresh for follower in platform_followers
         )
-        self.links.apply(self.keeper.group, self.disk.identity.disk)
+        self.links.apply(self.replica.group, self.disk.identity.disk)
         self.spawn(self.membership.run)
         self.repeat(self._report_retirement, RETIREMENT_POLL_MS)
-        self.serve_measures()
+        self.serve_metrics()
         return self
 
-    def render_measures(self) -> bytes:
+    def render_metrics(self) -> bytes:
         """Return the store host's counts as text."""
         gauges = {
-            'storage_epoch': self.keeper.group.epoch,
+            'storage_epoch': self.replica.group.epoch,
             'storage_complete': self.disk.identity.is_complete,
             **self.disk.index.describe(),
         }
@@ -108,37 +114,40 @@
         super().__exit__(*failure)
         self.disk.close()
 
-    def _note(self, kind: str, seen: followers.Snapshot) -> None:
+    def _update_snapshot(self, kind: str, seen: followers.Snapshot) -> None:
         """Keep what entry hosts need to know of the platform."""
-        note = decoding.encode_note(seen.present, seen.revision)
-        self.keeper.status_exchange.update_snapshot(kind, note, seen.was_away)
+        snapshot = decoding.encode_snapshot(seen.stored_objects, seen.revision)
+        self.replica.status_exchange.update_snapshot(
+            kind, snapshot, seen.was_unreachable
+        )
 
-    def _pace_ms(self, _member: groups.Member) -> float:
-        is_busy = self.keeper.status_exchange.has_waiting_calls()
+    def _heartbeat_interval_ms(self, _member: groups.Member) -> float:
+        is_busy = self.replica.status_exchange.has_waiting_calls()
         return (
             links.BUSY_HEARTBEAT_INTERVAL_MS
             if is_busy
             else links.HEARTBEAT_INTERVAL_MS
         )
 
-    def _take_news(self, member: groups.Member, news: messages.News) -> None:
+    def _apply_news(self, member: groups.Member, news: messages.News) -> None:
         """Ask a peer for what it knows and this host does not."""
-        if self.keeper.status_exchange.apply_news(news):
+        if self.replica.status_exchange.apply_news(news):
             known = self.disk.snapshots.revisions()
             self._recall(member, messages.Recall(known))
 
-    def _recall(self, member: groups.Member, question: messages.Recall) -> None:
+    def _recall(self, member: groups.Member, request: messages.Recall) -> None:
         link = self.links.get(member.disk)
         if link is not None:
             link.send_request(
-                question, functools.partial(self._take_recalled, member)
+                request, functools.partial(self._merge_recalled, member)
             )
 
-    def _take_recalled(
-        self, member: groups.Member, told: messages.Recalled | None
+    def _merge_recalled(
+        self, member: groups.Member, recalled: messages.Recalled | None
     ) -> None:
-        if told is not None and not self.keeper.status_exchange.merge_recalled(
-            told
+        if (
+            recalled is not None
+            and not self.replica.status_exchange.merge_recalled(recalled)
         ):
             self._recall(member, messages.Recall())
 
--- a/src/carobfork/roles/updates.py
+++ b/src/carobfork/roles/updates.py
@@ -15,14 +15,14 @@
 from carobfork.platform import decoding, followers, names, registers
 from carobfork.storage import clients, links, messages, snapshots
 
-UNTOLD_MS = 1100
+NEWS_TIMEOUT_MS = 1100
 """Four beats: then an entry host follows the platform itself."""
 
 logger = structlog.get_logger(part='updates')
 
 
 @attrs.frozen
-class Learners:
+class UpdateTargets:
     """The parts of an entry host that take what is learnt."""
 
     relay: relays.Relay
@@ -37,83 +37,89 @@
     :param timer: measures how long nothing was told.
     """
 
-    def __init__(self, learners: Learners, timer: clock.Clock) -> None:
+    def __init__(self, targets: UpdateTargets, timer: clock.Clock) -> None:
         """Start without knowing anything."""
         self.needed = event.Event()
-        self._learners = learners
+        self._targets = targets
         self._timer = timer
-        self._told_ms = timer.now_ms()
-        self._notebook = snapshots.SnapshotCache()
-        self._takers = {
-            names.KIND_CONFIG: self._take_configs,
-            names.KIND_SERVERS: self._take_workers,
+        self._last_news_ms = timer.now_ms()
+        self._snapshots = snapshots.SnapshotCache()
+        self._handlers = {
+            names.KIND_CONFIG: self._apply_configs,
+            names.KIND_SERVERS: self._apply_workers,
         }
 
     @property
     def is_complete(self) -> bool:
         """Whether enough is known to serve."""
-        is_routed = self._learners.relay.routes is not None
-        return is_routed and self._learners.table.is_loaded
+        is_routed = self._targets.relay.routes is not None
+        return is_routed and self._targets.table.is_loaded
 
     def sources(self) -> dict[str, followers.OnSnapshot]:
         """Return what takes the platform's own word, by kind."""
-        takers = {kind: self._taker(kind) for kind in self._takers}
-        return {**takers, names.KIND_STORAGE: self._take_group}
+        handlers = {kind: self._handler(kind) for kind in self._handlers}
+        return {**handlers, names.KIND_STORAGE: self._apply_group}
 
     def check(self) -> None:
         """Let the platform be followed where no store host tells of it."""
-        if self._timer.now_ms() - self._told_ms > UNTOLD_MS:
+        if self._timer.now_ms() - self._last_news_ms > NEWS_TIMEOUT_MS:
             self.needed.set()
         else:
             self.needed.clear()
 
-    def take_news(self, link: links.Link | None, news: messages.News) -> None:
+    def apply_news(self, link: links.Link | None, news: messages.News) -> None:
         """Take a store host's news and ask for what is new."""
         if news.group is not None:
-            self._learners.storage.apply(news.group)
+            self._targets.storage.apply(news.group)
         if news.is_fresh:
-            self._told_ms = self._timer.now_ms()
-        if link is not None and self._notebook.is_behind(news.revisions):
-            known = self._notebook.revisions()
-            link.send_request(messages.Recall(known), self._recalled(link))
+            self._last_news_ms = self._timer.now_ms()
+        if link is not None and self._snapshots.is_behind(news.revisions):
+            known = self._snapshots.revisions()
+            link.send_request(messages.Recall(known), self._on_recalled(link))
 
-    def take_recalled(self, told: messages.Recalled) -> bool:
+    def apply_recalled(self, recalled: messages.Recalled) -> bool:
         """Take what a store host knows; tell whether all could be taken."""
-        self._learners.storage.apply(told.group)
-        was_away = told.since_outage_ms < workers.RELISTING_TIMEOUT_MS
-        renewed, is_whole = self._notebook.merge(told.changes)
-        for kind in renewed:
-            note = self._notebook.get(kind)
-            logger.info('recalled', kind=kind, revision=note.revision)
-            self._takers[kind](decoding.decode_note(note), was_away)
-        return is_whole
-
-    def _recalled(
+        self._targets.storage.apply(recalled.group)
+        was_unreachable = (
+            recalled.since_outage_ms < workers.RELISTING_TIMEOUT_MS
+        )
+        updated_kinds, is_complete = self._snapshots.merge(recalled.changes)
+        for kind in updated_kinds:
+            snapshot = self._snapshots.get(kind)
+            logger.info('recalled', kind=kind, revision=snapshot.revision)
+            self._handlers[kind](
+                decoding.decode_snapshot(snapshot), was_unreachable
+            )
+        return is_complete
+
+    def _on_recalled(
         self, link: links.Link
     ) -> Callable[[messages.Recalled | None], None]:
-        def take(told: messages.Recalled | None) -> None:  # noqa: WPS430
-            if told is not None and not self.take_recalled(told):
-                link.send_request(messages.Recall(), self._recalled(link))
+        def handle(recalled: messages.Recalled | None) -> None:  # noqa: WPS430
+            if recalled is not None and not self.apply_recalled(recalled):
+                link.send_request(messages.Recall(), self._on_recalled(link))
 
-        return take
+        return handle
 
-    def _taker(self, kind: str) -> followers.OnSnapshot:
-        def take(seen: followers.Snapshot) -> None:  # noqa: WPS430
-            note = decoding.encode_note(seen.present, seen.revision)
-            if self._notebook.put(kind, note):
-                self._takers[kind](seen.present, seen.was_away)
+    def _handler(self, kind: str) -> followers.OnSnapshot:
+        def handle(seen: followers.Snapshot) -> None:  # noqa: WPS430
+            snapshot = decoding.encode_snapshot(
+                seen.stored_objects, seen.revision
+            )
+            if self._snapshots.put(kind, snapshot):
+                self._handlers[kind](seen.stored_objects, seen.was_unreachable)
 
-        return take
+        return handle
 
-    def _take_configs(
-        self, found: list[decoding.StoredObject], _was_away: bool
+    def _apply_configs(
+        self, found: list[decoding.StoredObject], _was_unreachable: bool
     ) -> None:
         for stored in found:
             if stored.name == names.CONFIG_NAME:
-                self._take_config(stored)
+                self._apply_config(stored)
 
-    def _take_config(self, stored: decoding.StoredObject) -> None:
-        known = self._learners.relay.routes
+    def _apply_config(self, stored: decoding.StoredObject) -> None:
+        known = self._targets.relay.routes
         try:
             table = decoding.decode_table(stored.spec)
         except (exceptions.SettingsError, AttributeError) as error:
@@ -126,18 +132,18 @@
                 before=known.version if known else None,
                 routes=len(table.routes),
             )
-            self._learners.relay.routes = table
+            self._targets.relay.routes = table
 
-    def _take_workers(
-        self, found: list[decoding.StoredObject], was_away: bool
+    def _apply_workers(
+        self, found: list[decoding.StoredObject], was_unreachable: bool
     ) -> None:
         entries = [decoding.decode_worker(stored) for stored in found]
-        self._learners.table.apply(
-            [entry for entry in entries if entry], was_away
+        self._targets.table.apply(
+            [entry for entry in entries if entry], was_unreachable
         )
-        self._learners.relay.admission.process_waiting()
+        self._targets.relay.admission.process_waiting()
 
-    def _take_group(self, seen: followers.Snapshot) -> None:
-        for stored in seen.present:
+    def _apply_group(self, seen: followers.Snapshot) -> None:
+        for stored in seen.stored_objects:
             if stored.name == registers.GROUP_NAME:
-                self._learners.storage.apply(registers.decode_group(stored))
+                self._targets.storage.apply(registers.decode_group(stored))
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -229,12 +229,12 @@
         register.write(groups.Group(1), 0)
         with self.assertRaises(exceptions.ConflictError):
             register.write(groups.Group(1), 0)
-        register.take(self.snapshot('carobfork-storage'))
+        register.update(self.snapshot('carobfork-storage'))
         _group, revision = register.current()
         register.write(groups.Group(2), revision)
         with self.assertRaises(exceptions.ConflictError):
             register.write(groups.Group(3), revision)
-        register.take(self.snapshot('carobfork-storage'))
+        register.update(self.snapshot('carobfork-storage'))
         self.assertEqual(register.current()[0], groups.Group(2))
 
     def test_outages(self):
@@ -250,14 +250,14 @@
         """Progress goes from running to completed, and not back."""
         self.stored.put('retirements', 'store-1', {'DurationS': 9})
         retirement = registers.Retirement(self.store, 'store-1')
-        self.assertFalse(retirement.is_asked)
+        self.assertFalse(retirement.is_requested)
         for is_done, state in ((False, 'running'), (True, 'completed')):
-            retirement.take(self.snapshot('retirements'))
-            self.assertTrue(retirement.is_asked)
+            retirement.update(self.snapshot('retirements'))
+            self.assertTrue(retirement.is_requested)
             retirement.report(is_done)
             status = self.stored.get('retirements', 'store-1')['Status']
             self.assertEqual(status, {'State': state})
-        retirement.take(self.snapshot('retirements'))
+        retirement.update(self.snapshot('retirements'))
         retirement.report(is_done=False)
         status = self.stored.get('retirements', 'store-1')['Status']
         self.assertEqual(status, {'State': 'completed'})
@@ -266,7 +266,9 @@
         """A failed watch is not begun again from its old revision."""
         found = []
         follower = followers.Follower(
-            self.store, 'servers', lambda seen: found.append(seen.present)
+            self.store,
+            'servers',
+            lambda seen: found.append(seen.stored_objects),
         )
         follower._step()
         self.stored.put('servers', 'a', {})
