--- a/src/carobfork/roles/__init__.py
+++ b/src/carobfork/roles/__init__.py
@@ -1,5 +1,5 @@
-"""Roles: the processes that run on the platform, and how they are wired.
+"""Processes that run on the platform, and how their parts are connected.
 
-Each module is one role and imports what that role needs and no more, since
-memory is priced. Run one with ``python3 -m carobfork.roles front``.
+Each role is one module and imports only what it needs, since memory is
+priced. Run one with ``python3 -m carobfork.roles front``.
 """
--- a/src/carobfork/roles/__main__.py
+++ b/src/carobfork/roles/__main__.py
@@ -19,7 +19,11 @@
 
 
 def run(name: str) -> None:
-    """Run a role until SIGTERM or SIGINT."""
+    """Run a role until SIGTERM or SIGINT.
+
+    :param name: the role's registered name.
+    :raises SettingsError: if the settings can't be read.
+    """
     importlib.import_module(f'carobfork.roles.{name}')
     host_settings = settings.load()
     host_logs.configure()
@@ -44,8 +48,8 @@
 def main() -> None:
     """Run the role that the command line names.
 
-    Exits with 1 and a line on standard error where the words or the settings
-    are wrong; nothing was started then.
+    If the arguments or the settings are invalid, nothing is started, and the
+    process exits with 1 and a line on standard error.
     """
     if len(sys.argv) != 2 or sys.argv[1] not in NAMES:
         sys.exit(f'usage: python3 -m carobfork.roles {"|".join(NAMES)}')
@@ -53,7 +57,7 @@
         run(sys.argv[1])
     except exceptions.SettingsError as error:
         sys.exit(f'carobfork: {error}')
-    # Threads of the pool and connections that hang must not hold the end.
+    # Threads of gevent's pool and hanging connections must not delay the exit.
     os._exit(0)  # noqa: WPS437
 
 
--- a/src/carobfork/roles/front.py
+++ b/src/carobfork/roles/front.py
@@ -1,4 +1,4 @@
-"""Front: the role of entry hosts, which serve callers."""
+"""Run an entry host, which serves callers."""
 
 import functools
 
@@ -21,29 +21,32 @@
 
 POOL_TRIM_INTERVAL_MS = 500
 NEWS_CHECK_INTERVAL_MS = 250
-"""A beat: between looks at what store hosts tell."""
+"""How often to check that store hosts still report on the platform: once per
+heartbeat."""
 RECALL_INTERVAL_MS = 100
-"""Between questions to a seed: callers wait for a host that starts."""
+"""Between requests to a seed; short, since callers wait while a host starts."""
 LEAVE_RATIO = 0.38
-"""Of the grace time in which new requests are still served."""
+"""Fraction of the grace time in which new requests are still served."""
 MAX_LEAVE_MS = 3000
+"""Longest time in which new requests are still served."""
 FINISH_RATIO = 0.9
-"""Of the grace time, after which what still runs is cut off."""
+"""Fraction of the grace time after which running requests are aborted."""
 DIRECTORY_TTL_MS = 1000
-"""Short: callers leave a lost host within it; asking again is cheap."""
+"""Short, since callers leave a lost host within it, and asking again is
+cheap."""
 
 logger = structlog.get_logger(part='host')
 
 
 @hosts.register('front')
 class FrontRole(hosts.Host):
-    """Serve callers.
+    """Entry host: schedules callers' requests on backend servers.
 
-    :param known: the settings.
+    :param host_settings: settings of this process.
     """
 
     def __init__(self, host_settings: settings.HostSettings) -> None:
-        """Wire the parts."""
+        """Connect the parts without starting them."""
         super().__init__(host_settings)
         ip, port = host_settings.front
         self.directory = directories.Directory(
@@ -91,7 +94,7 @@
         ]
 
     def __enter__(self) -> 'FrontRole':
-        """Listen and learn from store hosts, or from the platform."""
+        """Start listening and following store hosts or the platform."""
         for kind, take in self.updates.sources().items():
             self.follow(kind, take, needed=self.updates.needed)
         for seed in self.settings.seeds:
@@ -108,7 +111,7 @@
         return self
 
     def __exit__(self, *failure) -> None:
-        """Close the listeners and end all greenlets."""
+        """Close listeners and connections and kill all greenlets."""
         self.server.stop_accepting()
         for endpoint in self._endpoints:
             endpoint.stop()
@@ -117,7 +120,7 @@
         super().__exit__(*failure)
 
     def is_ready(self) -> bool:
-        """Tell whether callers should come here."""
+        """Tell whether callers should connect to this host."""
         return (
             self.relay.routes is not None
             and self.table.is_loaded
@@ -126,7 +129,11 @@
         )
 
     def stop(self) -> None:
-        """Leave: callers go elsewhere, and what runs is finished."""
+        """Send callers elsewhere and wait for running requests.
+
+        New requests are served at first, while callers learn that this host
+        is not ready. Requests that outlast the grace time are aborted.
+        """
         grace_ms = self.settings.grace_ms
         leave_ms = min(grace_ms * LEAVE_RATIO, MAX_LEAVE_MS)
         until_ms = self.timer.now_ms() + grace_ms * FINISH_RATIO
@@ -137,7 +144,7 @@
             gevent.sleep(clock.to_seconds(admissions.PROCESS_INTERVAL_MS))
 
     def render_metrics(self) -> bytes:
-        """Return the entry host's counts and latencies as text."""
+        """Return the entry host's metrics in the Prometheus text format."""
         counts = self.server.counts
         counters = {
             'requests_answered': counts.answered,
@@ -166,7 +173,7 @@
     def _build_report(
         self, member: groups.Member
     ) -> messages.Presence | messages.Beat:
-        """Return what a store host is told: all goes to the nearest one."""
+        """Build a heartbeat, with a full status report to the nearest host."""
         epoch = self.storage.group.epoch
         if member.disk != self.storage.nearest_disk():
             return messages.Beat(epoch)
@@ -209,7 +216,7 @@
         self.updates.apply_news(self.links.get(member.disk), news)
 
     def _recall_until_known(self, seed: settings.Address) -> None:
-        """Ask a store host until this host knows enough to serve."""
+        """Request platform state from a store host until it is complete."""
         while not self.updates.is_complete:
             self._recall(seed)
             gevent.sleep(clock.to_seconds(RECALL_INTERVAL_MS))
@@ -218,6 +225,6 @@
         try:
             recalled = links.request_once(seed, messages.Recall())
         except (OSError, exceptions.BadRequestError) as error:
-            logger.info('nothing recalled', peer=seed, reason=str(error))
+            logger.info('recall failed', peer=seed, reason=str(error))
             return
         self.updates.apply_recalled(recalled)
--- a/src/carobfork/roles/hosts.py
+++ b/src/carobfork/roles/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts: what all roles have, and the registry of roles."""
+"""Define the base class and the registry of roles."""
 
 import contextlib
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 from carobfork.platform import endpoints, followers, objects, settings
 
 SETTINGS_POLL_MS = 1000
-"""The settings file may change without a signal."""
+"""How often to look for changed settings, which may come without a signal."""
 
 logger = structlog.get_logger(part='host')
 
@@ -21,7 +21,10 @@
 
 
 def register(name: str) -> Callable[[Role], Role]:
-    """Register a role under its name, which is its module's, too."""
+    """Return a decorator that registers a role.
+
+    :param name: the role's name, which is also the name of its module.
+    """
 
     def decorator(role: Role) -> Role:  # noqa: WPS430
         ROLES[name] = role
@@ -31,13 +34,13 @@
 
 
 class Host:
-    """What all roles have: greenlets, followers and reloaded settings.
+    """Base of all roles: greenlets, followers, metrics and settings.
 
-    :param known: the settings.
+    :param host_settings: settings of this process.
     """
 
     def __init__(self, host_settings: settings.HostSettings) -> None:
-        """Start nothing yet."""
+        """Create the parts without starting them."""
         self.settings = host_settings
         self.store = objects.ObjectStore(host_settings.platform)
         self.timer = clock.SystemClock()
@@ -49,7 +52,7 @@
         )
 
     def render_metrics(self) -> bytes:
-        """Return the host's counts and latencies as text."""
+        """Return the host's metrics in the Prometheus text format."""
         counters = {
             'platform_calls': self.store.calls,
             'log_lines_lost': host_logs.lost_lines(),
@@ -57,11 +60,14 @@
         return metrics.render(counters, {}, {})
 
     def serve_metrics(self) -> None:
-        """Serve counts and latencies on the second inner port."""
+        """Serve metrics on the second inner port.
+
+        If the port can't be opened, the host runs without metrics.
+        """
         try:
             self._metrics.start()
         except OSError as error:
-            logger.warning('no metrics are served', reason=str(error))
+            logger.warning('metrics not served', reason=str(error))
 
     def __exit__(
         self,
@@ -69,16 +75,19 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """End all greenlets."""
+        """Stop serving metrics and kill all greenlets."""
         self._metrics.stop()
         gevent.killall(self._greenlets, block=False)
 
     def spawn(self, task: Callable[[], None]) -> None:
-        """Run a task for as long as the host lives."""
+        """Run a task in a greenlet that ends with the host."""
         self._greenlets.append(gevent.spawn(task))
 
     def repeat(self, task: Callable[[], None], every_ms: float) -> None:
-        """Run a task again and again."""
+        """Run a task periodically.
+
+        :param every_ms: pause in ms before each run.
+        """
 
         def run() -> None:  # noqa: WPS430
             while True:
@@ -90,13 +99,21 @@
     def follow(
         self, kind: str, on_snapshot: followers.OnSnapshot, **options
     ) -> followers.Follower:
-        """Follow a kind of the platform's objects."""
+        """Follow the platform's objects of a kind.
+
+        :param on_snapshot: called with all objects after each change.
+        :param options: further arguments of the follower.
+        """
         follower = followers.Follower(self.store, kind, on_snapshot, **options)
         self.spawn(follower.run)
         return follower
 
     def reload(self) -> None:
-        """Read the settings again; what can't change is kept."""
+        """Read the settings again if their file has changed.
+
+        Settings that are used only at the start stay in effect. An invalid
+        file is logged and ignored.
+        """
         try:
             text = settings.read()
             if text == self._settings_text:
@@ -112,4 +129,4 @@
             self.store.address = fresh.platform
 
     def stop(self) -> None:
-        """Prepare to end."""
+        """Prepare to exit; called before the host's context ends."""
--- a/src/carobfork/roles/store.py
+++ b/src/carobfork/roles/store.py
@@ -1,4 +1,4 @@
-"""Store: the role of store hosts, which keep turns and budgets."""
+"""Run a store host, which keeps turns and budgets."""
 
 import functools
 import pathlib
@@ -26,20 +26,20 @@
 )
 
 RETIREMENT_POLL_MS = 250
-"""Short against the time in which a host is to be emptied."""
+"""Much shorter than the time within which a host must be emptied."""
 
 logger = structlog.get_logger(part='host')
 
 
 @hosts.register('store')
 class StoreRole(hosts.Host):
-    """Keep turns and budgets on a disk.
+    """Store host: a replica of turns and budgets on a disk.
 
-    :param known: the settings.
+    :param host_settings: settings of this process.
     """
 
     def __init__(self, host_settings: settings.HostSettings) -> None:
-        """Open the disk and wire the parts."""
+        """Open the disk and connect the parts without starting them."""
         super().__init__(host_settings)
         folder = pathlib.Path(host_settings.data_folder)
         self.disk = disks.Disk(folder, clock.WallClock())
@@ -74,7 +74,7 @@
         )
 
     def __enter__(self) -> 'StoreRole':
-        """Listen, follow the platform and take part in the group."""
+        """Start listening, following the platform and joining the group."""
         self.listener.start()
         self.spawn(self.disk.run)
         self.spawn(self.disk.run_expiry)
@@ -94,7 +94,7 @@
         return self
 
     def render_metrics(self) -> bytes:
-        """Return the store host's counts as text."""
+        """Return the store host's metrics in the Prometheus text format."""
         gauges = {
             'storage_epoch': self.replica.group.epoch,
             'storage_complete': self.disk.identity.is_complete,
@@ -108,14 +108,14 @@
         return metrics.render(counters, gauges, {})
 
     def __exit__(self, *failure) -> None:
-        """Close the listener and the disk and end all greenlets."""
+        """Close the listener, links and disk and kill all greenlets."""
         self.listener.stop()
         self.links.close()
         super().__exit__(*failure)
         self.disk.close()
 
     def _update_snapshot(self, kind: str, seen: followers.Snapshot) -> None:
-        """Keep what entry hosts need to know of the platform."""
+        """Keep the platform's objects of a kind for entry hosts."""
         snapshot = decoding.encode_snapshot(seen.stored_objects, seen.revision)
         self.replica.status_exchange.update_snapshot(
             kind, snapshot, seen.was_unreachable
@@ -130,7 +130,7 @@
         )
 
     def _apply_news(self, member: groups.Member, news: messages.News) -> None:
-        """Ask a peer for what it knows and this host does not."""
+        """Request the snapshots of a peer that are newer than this host's."""
         if self.replica.status_exchange.apply_news(news):
             known = self.disk.snapshots.revisions()
             self._recall(member, messages.Recall(known))
--- a/src/carobfork/roles/updates.py
+++ b/src/carobfork/roles/updates.py
@@ -1,7 +1,7 @@
-"""Updates: what an entry host learns of the platform.
+"""Keep an entry host up to date with the platform's objects.
 
-Store hosts tell it. Where none of them follows the platform, it does so
-itself.
+Store hosts report changes. If none of them follows the platform, the entry
+host follows it itself.
 """
 
 from collections.abc import Callable
@@ -16,14 +16,20 @@
 from carobfork.storage import clients, links, messages, snapshots
 
 NEWS_TIMEOUT_MS = 1100
-"""Four beats: then an entry host follows the platform itself."""
+"""An entry host without news for this long follows the platform itself; it is
+a little more than four heartbeats."""
 
 logger = structlog.get_logger(part='updates')
 
 
 @attrs.frozen
 class UpdateTargets:
-    """The parts of an entry host that take what is learnt."""
+    """Parts of an entry host that are updated.
+
+    :param relay: uses the routes of the configuration.
+    :param table: holds the backend servers.
+    :param storage: client of the storage group.
+    """
 
     relay: relays.Relay
     table: workers.WorkerTable
@@ -31,14 +37,14 @@
 
 
 class Updates:
-    """Take configurations, backend servers and the storage group.
+    """Updates of the configuration, backend servers and storage group.
 
-    :param learners: the parts that take them.
-    :param timer: measures how long nothing was told.
+    :param targets: the parts that are updated.
+    :param timer: clock for the time since the last news.
     """
 
     def __init__(self, targets: UpdateTargets, timer: clock.Clock) -> None:
-        """Start without knowing anything."""
+        """Create an empty state."""
         self.needed = event.Event()
         self._targets = targets
         self._timer = timer
@@ -51,24 +57,27 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether enough is known to serve."""
+        """Whether routes and backend servers are known."""
         is_routed = self._targets.relay.routes is not None
         return is_routed and self._targets.table.is_loaded
 
     def sources(self) -> dict[str, followers.OnSnapshot]:
-        """Return what takes the platform's own word, by kind."""
+        """Return the handlers of snapshots from the platform, by kind."""
         handlers = {kind: self._handler(kind) for kind in self._handlers}
         return {**handlers, names.KIND_STORAGE: self._apply_group}
 
     def check(self) -> None:
-        """Let the platform be followed where no store host tells of it."""
+        """Request following of the platform if no store host reports on it."""
         if self._timer.now_ms() - self._last_news_ms > NEWS_TIMEOUT_MS:
             self.needed.set()
         else:
             self.needed.clear()
 
     def apply_news(self, link: links.Link | None, news: messages.News) -> None:
-        """Take a store host's news and ask for what is new."""
+        """Apply a store host's news and request snapshots that are newer.
+
+        :param link: link to the store host, if it is still known.
+        """
         if news.group is not None:
             self._targets.storage.apply(news.group)
         if news.is_fresh:
@@ -78,7 +87,7 @@
             link.send_request(messages.Recall(known), self._on_recalled(link))
 
     def apply_recalled(self, recalled: messages.Recalled) -> bool:
-        """Take what a store host knows; tell whether all could be taken."""
+        """Apply a store host's changes; tell whether all could be applied."""
         self._targets.storage.apply(recalled.group)
         was_unreachable = (
             recalled.since_outage_ms < workers.RELISTING_TIMEOUT_MS
@@ -123,7 +132,7 @@
         try:
             table = decoding.decode_table(stored.spec)
         except (exceptions.SettingsError, AttributeError) as error:
-            logger.warning('configuration not taken', reason=str(error))
+            logger.warning('configuration rejected', reason=str(error))
             return
         if known is None or table.version > known.version:
             logger.info(
