--- a/src/carobfork/roles/front.py
+++ b/src/carobfork/roles/front.py
@@ -1,4 +1,4 @@
-"""Front: the role of entry hosts, which serve callers."""
+"""Run an entry host, which serves callers."""
 
 import functools
 
@@ -19,85 +19,99 @@
 from carobfork.roles import hosts, updates
 from carobfork.storage import clients, groups, links, messages
 
-TRIM_EVERY_MS = 500
-CHECK_EVERY_MS = 250
-"""A beat: between looks at what store hosts tell."""
-RECALL_EVERY_MS = 100
-"""Between questions to a seed: callers wait for a host that starts."""
-LEAVE_PART = 0.38
-"""Of the grace time in which new requests are still served."""
-MOST_LEAVE_MS = 3000
-FINISH_PART = 0.9
-"""Of the grace time, after which what still runs is cut off."""
+POOL_TRIM_INTERVAL_MS = 500
+NEWS_CHECK_INTERVAL_MS = 250
+"""How often to check that store hosts still report on the platform: once per
+heartbeat."""
+RECALL_INTERVAL_MS = 100
+"""Between requests to a seed; short, since callers wait while a host starts."""
+LEAVE_RATIO = 0.38
+"""Fraction of the grace time in which new requests are still served."""
+MAX_LEAVE_MS = 3000
+"""Longest time in which new requests are still served."""
+FINISH_RATIO = 0.9
+"""Fraction of the grace time after which running requests are aborted."""
 DIRECTORY_TTL_MS = 1000
-"""Short: callers leave a lost host within it; asking again is cheap."""
+"""Short, since callers leave a lost host within it, and asking again is
+cheap."""
 
 logger = structlog.get_logger(part='host')
 
 
 @hosts.register('front')
 class FrontRole(hosts.Host):
-    """Serve callers.
+    """Entry host: schedules callers' requests on backend servers.
 
-    :param known: the settings.
+    :param host_settings: settings of this process.
     """
 
-    def __init__(self, known: settings.HostSettings) -> None:
-        """Wire the parts."""
-        super().__init__(known)
-        ip, port = known.front
+    def __init__(self, host_settings: settings.HostSettings) -> None:
+        """Connect the parts without starting them."""
+        super().__init__(host_settings)
+        ip, port = host_settings.front
         self.directory = directories.Directory(
-            known.node, known.zone, f'{ip}:{port}', self.timer
+            host_settings.node, host_settings.zone, f'{ip}:{port}', self.timer
         )
         self.table = workers.WorkerTable(self.timer)
         self.links = links.Links(
             self.timer,
-            links.Heartbeats(self._compose, self._take_answer, self._pace_ms),
+            links.Heartbeats(
+                self._build_report,
+                self._apply_answer,
+                self._heartbeat_interval_ms,
+            ),
         )
         self.storage = clients.Client(
-            self.links, known.losses, known.node, known.zone, self.timer
+            self.links,
+            host_settings.losses,
+            host_settings.node,
+            host_settings.zone,
+            self.timer,
         )
         self.relay = relays.Relay(
             heads, self.table, turns.TurnManager(self.storage), self.timer
         )
         self.server = servers.Server(
-            known.front, self.relay, self.timer, self.is_ready
+            host_settings.front, self.relay, self.timer, self.is_ready
         )
         self.updates = updates.Updates(
-            updates.Learners(self.relay, self.table, self.storage), self.timer
+            updates.UpdateTargets(self.relay, self.table, self.storage),
+            self.timer,
         )
         self._endpoints = [
             endpoints.EndpointServer(
-                known.ready, endpoints.ready_endpoint(self.is_ready)
+                host_settings.ready, endpoints.ready_endpoint(self.is_ready)
             ),
             endpoints.EndpointServer(
-                known.directory,
+                host_settings.directory,
                 endpoints.directory_endpoint(
                     lambda zone: self.directory.addresses(
                         zone, self.is_ready()
                     ),
-                    min(DIRECTORY_TTL_MS, known.directory_ttl_ms),
+                    min(DIRECTORY_TTL_MS, host_settings.directory_ttl_ms),
                 ),
             ),
         ]
 
     def __enter__(self) -> 'FrontRole':
-        """Listen and learn from store hosts, or from the platform."""
+        """Start listening and following store hosts or the platform."""
         for kind, take in self.updates.sources().items():
             self.follow(kind, take, needed=self.updates.needed)
         for seed in self.settings.seeds:
             self.spawn(functools.partial(self._recall_until_known, seed))
-        self.repeat(self.updates.check, CHECK_EVERY_MS)
+        self.repeat(self.updates.check, NEWS_CHECK_INTERVAL_MS)
         self.spawn(self.relay.admission.run)
-        self.repeat(self.relay.exchanger.pool.close_expired, TRIM_EVERY_MS)
+        self.repeat(
+            self.relay.exchanger.pool.close_expired, POOL_TRIM_INTERVAL_MS
+        )
         for endpoint in self._endpoints:
             endpoint.start()
         self.server.start()
-        self.serve_measures()
+        self.serve_metrics()
         return self
 
     def __exit__(self, *failure) -> None:
-        """Close the listeners and end all greenlets."""
+        """Close listeners and connections and kill all greenlets."""
         self.server.stop_accepting()
         for endpoint in self._endpoints:
             endpoint.stop()
@@ -106,7 +120,7 @@
         super().__exit__(*failure)
 
     def is_ready(self) -> bool:
-        """Tell whether callers should come here."""
+        """Tell whether callers should connect to this host."""
         return (
             self.relay.routes is not None
             and self.table.is_loaded
@@ -115,18 +129,22 @@
         )
 
     def stop(self) -> None:
-        """Leave: callers go elsewhere, and what runs is finished."""
+        """Send callers elsewhere and wait for running requests.
+
+        New requests are served at first, while callers learn that this host
+        is not ready. Requests that outlast the grace time are aborted.
+        """
         grace_ms = self.settings.grace_ms
-        leave_ms = min(grace_ms * LEAVE_PART, MOST_LEAVE_MS)
-        until_ms = self.timer.now_ms() + grace_ms * FINISH_PART
+        leave_ms = min(grace_ms * LEAVE_RATIO, MAX_LEAVE_MS)
+        until_ms = self.timer.now_ms() + grace_ms * FINISH_RATIO
         self.server.is_leaving = True
         gevent.sleep(clock.to_seconds(leave_ms))
         self.server.stop_accepting()
         while self.server.counts.in_progress and self.timer.now_ms() < until_ms:
             gevent.sleep(clock.to_seconds(admissions.PROCESS_INTERVAL_MS))
 
-    def render_measures(self) -> bytes:
-        """Return the entry host's counts and latencies as text."""
+    def render_metrics(self) -> bytes:
+        """Return the entry host's metrics in the Prometheus text format."""
         counts = self.server.counts
         counters = {
             'requests_answered': counts.answered,
@@ -152,10 +170,10 @@
         }
         return metrics.render(counters, gauges, histograms)
 
-    def _compose(
+    def _build_report(
         self, member: groups.Member
     ) -> messages.Presence | messages.Beat:
-        """Return what a store host is told: all goes to the nearest one."""
+        """Build a heartbeat, with a full status report to the nearest host."""
         epoch = self.storage.group.epoch
         if member.disk != self.storage.nearest_disk():
             return messages.Beat(epoch)
@@ -172,7 +190,7 @@
             self.table.suspects(),
         )
 
-    def _pace_ms(self, member: groups.Member) -> float:
+    def _heartbeat_interval_ms(self, member: groups.Member) -> float:
         if member.disk != self.storage.nearest_disk():
             return links.IDLE_HEARTBEAT_INTERVAL_MS
         is_busy = (
@@ -184,31 +202,31 @@
             else links.HEARTBEAT_INTERVAL_MS
         )
 
-    def _take_answer(
-        self, member: groups.Member, told: messages.Hosts | messages.News
+    def _apply_answer(
+        self, member: groups.Member, answer: messages.Hosts | messages.News
     ) -> None:
-        news = told
-        if isinstance(told, messages.Hosts):
-            self.directory.update(told)
+        news = answer
+        if isinstance(answer, messages.Hosts):
+            self.directory.update(answer)
             is_near = self.directory.has_enough_local_hosts
             self.table.prefer_failure_domain(
                 self.settings.zone if is_near else ''
             )
-            self.table.update_remote_load(told.in_flight, told.waiting)
-            self.table.update_suspects(told.suspects)
-            news = told.news
-        self.updates.take_news(self.links.get(member.disk), news)
+            self.table.update_remote_load(answer.in_flight, answer.waiting)
+            self.table.update_suspects(answer.suspects)
+            news = answer.news
+        self.updates.apply_news(self.links.get(member.disk), news)
 
     def _recall_until_known(self, seed: settings.Address) -> None:
-        """Ask a store host until this host knows enough to serve."""
+        """Request platform state from a store host until it is complete."""
         while not self.updates.is_complete:
             self._recall(seed)
-            gevent.sleep(clock.to_seconds(RECALL_EVERY_MS))
+            gevent.sleep(clock.to_seconds(RECALL_INTERVAL_MS))
 
     def _recall(self, seed: settings.Address) -> None:
         try:
-            told = links.request_once(seed, messages.Recall())
+            recalled = links.request_once(seed, messages.Recall())
         except (OSError, exceptions.BadRequestError) as error:
-            logger.info('nothing recalled', peer=seed, reason=str(error))
+            logger.info('recall failed', peer=seed, reason=str(error))
             return
-        self.updates.take_recalled(told)
+        self.updates.apply_recalled(recalled)
--- a/src/carobfork/roles/updates.py
+++ b/src/carobfork/roles/updates.py
@@ -1,7 +1,7 @@
-"""Updates: what an entry host learns of the platform.
+"""Keep an entry host up to date with the platform's objects.
 
-Store hosts tell it. Where none of them follows the platform, it does so
-itself.
+Store hosts report changes. If none of them follows the platform, the entry
+host follows it itself.
 """
 
 from collections.abc import Callable
@@ -15,15 +15,21 @@
 from carobfork.platform import decoding, followers, names, registers
 from carobfork.storage import clients, links, messages, snapshots
 
-UNTOLD_MS = 1100
-"""Four beats: then an entry host follows the platform itself."""
+NEWS_TIMEOUT_MS = 1100
+"""An entry host without news for this long follows the platform itself; it is
+a little more than four heartbeats."""
 
 logger = structlog.get_logger(part='updates')
 
 
 @attrs.frozen
-class Learners:
-    """The parts of an entry host that take what is learnt."""
+class UpdateTargets:
+    """Parts of an entry host that are updated.
+
+    :param relay: uses the routes of the configuration.
+    :param table: holds the backend servers.
+    :param storage: client of the storage group.
+    """
 
     relay: relays.Relay
     table: workers.WorkerTable
@@ -31,93 +37,102 @@
 
 
 class Updates:
-    """Take configurations, backend servers and the storage group.
+    """Updates of the configuration, backend servers and storage group.
 
-    :param learners: the parts that take them.
-    :param timer: measures how long nothing was told.
+    :param targets: the parts that are updated.
+    :param timer: clock for the time since the last news.
     """
 
-    def __init__(self, learners: Learners, timer: clock.Clock) -> None:
-        """Start without knowing anything."""
+    def __init__(self, targets: UpdateTargets, timer: clock.Clock) -> None:
+        """Create an empty state."""
         self.needed = event.Event()
-        self._learners = learners
+        self._targets = targets
         self._timer = timer
-        self._told_ms = timer.now_ms()
-        self._notebook = snapshots.SnapshotCache()
-        self._takers = {
-            names.KIND_CONFIG: self._take_configs,
-            names.KIND_SERVERS: self._take_workers,
+        self._last_news_ms = timer.now_ms()
+        self._snapshots = snapshots.SnapshotCache()
+        self._handlers = {
+            names.KIND_CONFIG: self._apply_configs,
+            names.KIND_SERVERS: self._apply_workers,
         }
 
     @property
     def is_complete(self) -> bool:
-        """Whether enough is known to serve."""
-        is_routed = self._learners.relay.routes is not None
-        return is_routed and self._learners.table.is_loaded
+        """Whether routes and backend servers are known."""
+        is_routed = self._targets.relay.routes is not None
+        return is_routed and self._targets.table.is_loaded
 
     def sources(self) -> dict[str, followers.OnSnapshot]:
-        """Return what takes the platform's own word, by kind."""
-        takers = {kind: self._taker(kind) for kind in self._takers}
-        return {**takers, names.KIND_STORAGE: self._take_group}
+        """Return the handlers of snapshots from the platform, by kind."""
+        handlers = {kind: self._handler(kind) for kind in self._handlers}
+        return {**handlers, names.KIND_STORAGE: self._apply_group}
 
     def check(self) -> None:
-        """Let the platform be followed where no store host tells of it."""
-        if self._timer.now_ms() - self._told_ms > UNTOLD_MS:
+        """Request following of the platform if no store host reports on it."""
+        if self._timer.now_ms() - self._last_news_ms > NEWS_TIMEOUT_MS:
             self.needed.set()
         else:
             self.needed.clear()
 
-    def take_news(self, link: links.Link | None, news: messages.News) -> None:
-        """Take a store host's news and ask for what is new."""
+    def apply_news(self, link: links.Link | None, news: messages.News) -> None:
+        """Apply a store host's news and request snapshots that are newer.
+
+        :param link: link to the store host, if it is still known.
+        """
         if news.group is not None:
-            self._learners.storage.apply(news.group)
+            self._targets.storage.apply(news.group)
         if news.is_fresh:
-            self._told_ms = self._timer.now_ms()
-        if link is not None and self._notebook.is_behind(news.revisions):
-            known = self._notebook.revisions()
-            link.send_request(messages.Recall(known), self._recalled(link))
-
-    def take_recalled(self, told: messages.Recalled) -> bool:
-        """Take what a store host knows; tell whether all could be taken."""
-        self._learners.storage.apply(told.group)
-        was_away = told.since_outage_ms < workers.RELISTING_TIMEOUT_MS
-        renewed, is_whole = self._notebook.merge(told.changes)
-        for kind in renewed:
-            note = self._notebook.get(kind)
-            logger.info('recalled', kind=kind, revision=note.revision)
-            self._takers[kind](decoding.decode_note(note), was_away)
-        return is_whole
-
-    def _recalled(
+            self._last_news_ms = self._timer.now_ms()
+        if link is not None and self._snapshots.is_behind(news.revisions):
+            known = self._snapshots.revisions()
+            link.send_request(messages.Recall(known), self._on_recalled(link))
+
+    def apply_recalled(self, recalled: messages.Recalled) -> bool:
+        """Apply a store host's changes; tell whether all could be applied."""
+        self._targets.storage.apply(recalled.group)
+        was_unreachable = (
+            recalled.since_outage_ms < workers.RELISTING_TIMEOUT_MS
+        )
+        updated_kinds, is_complete = self._snapshots.merge(recalled.changes)
+        for kind in updated_kinds:
+            snapshot = self._snapshots.get(kind)
+            logger.info('recalled', kind=kind, revision=snapshot.revision)
+            self._handlers[kind](
+                decoding.decode_snapshot(snapshot), was_unreachable
+            )
+        return is_complete
+
+    def _on_recalled(
         self, link: links.Link
     ) -> Callable[[messages.Recalled | None], None]:
-        def take(told: messages.Recalled | None) -> None:  # noqa: WPS430
-            if told is not None and not self.take_recalled(told):
-                link.send_request(messages.Recall(), self._recalled(link))
+        def handle(recalled: messages.Recalled | None) -> None:  # noqa: WPS430
+            if recalled is not None and not self.apply_recalled(recalled):
+                link.send_request(messages.Recall(), self._on_recalled(link))
 
-        return take
+        return handle
 
-    def _taker(self, kind: str) -> followers.OnSnapshot:
-        def take(seen: followers.Snapshot) -> None:  # noqa: WPS430
-            note = decoding.encode_note(seen.present, seen.revision)
-            if self._notebook.put(kind, note):
-                self._takers[kind](seen.present, seen.was_away)
+    def _handler(self, kind: str) -> followers.OnSnapshot:
+        def handle(seen: followers.Snapshot) -> None:  # noqa: WPS430
+            snapshot = decoding.encode_snapshot(
+                seen.stored_objects, seen.revision
+            )
+            if self._snapshots.put(kind, snapshot):
+                self._handlers[kind](seen.stored_objects, seen.was_unreachable)
 
-        return take
+        return handle
 
-    def _take_configs(
-        self, found: list[decoding.StoredObject], _was_away: bool
+    def _apply_configs(
+        self, found: list[decoding.StoredObject], _was_unreachable: bool
     ) -> None:
         for stored in found:
             if stored.name == names.CONFIG_NAME:
-                self._take_config(stored)
+                self._apply_config(stored)
 
-    def _take_config(self, stored: decoding.StoredObject) -> None:
-        known = self._learners.relay.routes
+    def _apply_config(self, stored: decoding.StoredObject) -> None:
+        known = self._targets.relay.routes
         try:
             table = decoding.decode_table(stored.spec)
         except (exceptions.SettingsError, AttributeError) as error:
-            logger.warning('configuration not taken', reason=str(error))
+            logger.warning('configuration rejected', reason=str(error))
             return
         if known is None or table.version > known.version:
             logger.info(
@@ -126,18 +141,18 @@
                 before=known.version if known else None,
                 routes=len(table.routes),
             )
-            self._learners.relay.routes = table
+            self._targets.relay.routes = table
 
-    def _take_workers(
-        self, found: list[decoding.StoredObject], was_away: bool
+    def _apply_workers(
+        self, found: list[decoding.StoredObject], was_unreachable: bool
     ) -> None:
         entries = [decoding.decode_worker(stored) for stored in found]
-        self._learners.table.apply(
-            [entry for entry in entries if entry], was_away
+        self._targets.table.apply(
+            [entry for entry in entries if entry], was_unreachable
         )
-        self._learners.relay.admission.process_waiting()
+        self._targets.relay.admission.process_waiting()
 
-    def _take_group(self, seen: followers.Snapshot) -> None:
-        for stored in seen.present:
+    def _apply_group(self, seen: followers.Snapshot) -> None:
+        for stored in seen.stored_objects:
             if stored.name == registers.GROUP_NAME:
-                self._learners.storage.apply(registers.decode_group(stored))
+                self._targets.storage.apply(registers.decode_group(stored))
