--- a/src/carobfork/composition.py
+++ b/src/carobfork/composition.py
@@ -109,7 +109,7 @@
         self.members = membership.Membership(
             own, self._directory, self.link, self.holder, self.timer
         )
-        self.members.on_version(self._following.peers.hear)
+        self.members.on_version(self._following.peers.handle_version)
         self._build_slots()
         self.recording = recording.Recording(self.store, self.table, self.timer)
         self.home = homes.Home(
--- a/src/carobfork/coordination/bundle_checks.py
+++ b/src/carobfork/coordination/bundle_checks.py
@@ -13,7 +13,7 @@
 from carobfork.coordination import admissions, limits, orders, placements
 from carobfork.state import bundles
 
-SHARES_LIMIT = 1.0
+MAX_TOTAL_SHARE = 1.0
 _ROUNDING = 1e-9
 
 POLICY_REGISTRIES: dict[str, Mapping[str, object]] = {  # noqa: WPS407
@@ -66,10 +66,10 @@
     """Names are unique where something is looked up by them."""
     for field in ('ranks', 'programs', 'models', 'services'):
         names = [member.name for member in getattr(bundle, field)]
-        yield from _repeated(field, 'name', names)
+        yield from _find_duplicates(field, 'name', names)
     # Engines and servers share one name space: the list of leaving ones.
     backend_names = list(_backend_names(bundle))
-    yield from _repeated('models and services', 'name', backend_names)
+    yield from _find_duplicates('models and services', 'name', backend_names)
 
 
 @register
@@ -81,7 +81,7 @@
             for operation in service.operations
         ]
         path = f'services[{index}].operations'
-        yield from _repeated(path, 'target', targets)
+        yield from _find_duplicates(path, 'target', targets)
 
 
 @register
@@ -100,7 +100,7 @@
 def check_shares(bundle: bundles.Bundle) -> Iterator[Problem]:
     """Shares are parts of one capacity; each one is checked as a field."""
     total = sum(rank.share for rank in bundle.ranks)
-    if total > SHARES_LIMIT + _ROUNDING:
+    if total > MAX_TOTAL_SHARE + _ROUNDING:
         yield Problem('ranks', f'the shares sum to {total:g}, more than 1')
 
 
@@ -134,7 +134,7 @@
         yield from (server.name for server in service.servers)
 
 
-def _repeated(
+def _find_duplicates(
     path: str, noun: str, members: Iterable[str]
 ) -> Iterator[Problem]:
     for member, count in collections.Counter(members).items():
--- a/src/carobfork/coordination/bundle_peers.py
+++ b/src/carobfork/coordination/bundle_peers.py
@@ -18,7 +18,7 @@
 
 ASK_TIMEOUT_MS = 1000
 RETRY_DELAY_MS = 1000
-PARALLEL = 8
+MAX_PARALLEL_REQUESTS = 8
 
 logger = structlog.get_logger(part='bundle peers')
 
@@ -72,7 +72,7 @@
 
     def ask(self, addresses: Sequence[bundles.Address]) -> None:
         """Take the newest bundle that peers have; older ones never count."""
-        answers = pool.Pool(PARALLEL).map(self._ask_one, addresses)
+        answers = pool.Pool(MAX_PARALLEL_REQUESTS).map(self._ask_one, addresses)
         newest_first = sorted(
             filter(None, answers),
             key=lambda given: given.version,
@@ -82,7 +82,7 @@
             if given.version > self._holder.version:
                 self._take(given)
 
-    def hear(self, version: int, address: bundles.Address) -> None:
+    def handle_version(self, version: int, address: bundles.Address) -> None:
         """Ask a peer that has a newer version, unless one is asked already."""
         if version > self._holder.version and not self._asking:
             self._asking = True
--- a/src/carobfork/coordination/chunks.py
+++ b/src/carobfork/coordination/chunks.py
@@ -7,7 +7,7 @@
 from carobfork.coordination import journals, ports
 from carobfork.state import programs, records, spending
 
-_KEPT_SHARE = 0.5
+_MIN_LIVE_RATIO = 0.5
 """A chunk is copied once less than this part of it is worth keeping."""
 
 
@@ -28,7 +28,7 @@
             for program, size in self.program_bytes.items()
             if program in live
         )
-        return live_bytes > _KEPT_SHARE * journals.SEGMENT_BYTES
+        return live_bytes > _MIN_LIVE_RATIO * journals.MAX_SEGMENT_BYTES
 
 
 class ChunkWriter:
@@ -57,7 +57,7 @@
         self._size = 0
         self._summary = ChunkSummary()
 
-    def keep(self, key: str) -> None:
+    def add_existing(self, key: str) -> None:
         """Take an existing chunk over as it is."""
         self._flush()
         self._keys.append(key)
@@ -65,7 +65,7 @@
     def add(self, record: records.Record) -> None:
         """Add a record to the chunk being filled."""
         encoded = self._codec.encode(record)
-        if self._size + len(encoded) > journals.SEGMENT_BYTES:
+        if self._size + len(encoded) > journals.MAX_SEGMENT_BYTES:
             self._flush()
         self._encoded.append(encoded)
         self._size += len(encoded)
@@ -92,10 +92,10 @@
     """Tell whether a record still matters for the programs of a table."""
     if isinstance(record, records.FRAMES):
         return False
-    return _concerns(record, table)
+    return _is_relevant(record, table)
 
 
-def _concerns(record: records.Record, table: programs.ProgramTable) -> bool:
+def _is_relevant(record: records.Record, table: programs.ProgramTable) -> bool:
     if isinstance(record, records.Adopted):
         return record.incarnation in table.incarnations()
     if isinstance(record, spending.TimeSpent):
@@ -104,10 +104,12 @@
     if not name:
         return True
     program = table.programs.get(name)
-    return program is not None and _matters_to(program, record)
+    return program is not None and _is_relevant_to_program(program, record)
 
 
-def _matters_to(program: programs.Program, record: records.Record) -> bool:
+def _is_relevant_to_program(
+    program: programs.Program, record: records.Record
+) -> bool:
     if isinstance(record, spending.CallDispatched):
         return program.is_dispatched(record)
     if isinstance(record, (records.IntentRecorded, records.IntentWithdrawn)):
--- a/src/carobfork/coordination/claims.py
+++ b/src/carobfork/coordination/claims.py
@@ -16,7 +16,7 @@
 
     request: orders.SlotRequest
     pool: str
-    asked_ms: float
+    requested_ms: float
     granted: event.AsyncResult = attrs.Factory(event.AsyncResult)
     worker: str = ''
 
@@ -52,7 +52,7 @@
         """Return the pools at which calls are open."""
         return {claim.pool for claim in self._claims.values()}
 
-    def at(self, pool: str) -> list[Claim]:
+    def in_pool(self, pool: str) -> list[Claim]:
         """Return the claims at a pool."""
         return [claim for claim in self._claims.values() if claim.pool == pool]
 
@@ -60,7 +60,7 @@
         self, own: identifiers.Incarnation, pool: str
     ) -> slot_messages.SlotsOpen:
         """Return the sums of this host's claims at a pool."""
-        claims = self.at(pool)
+        claims = self.in_pool(pool)
         return slot_messages.SlotsOpen(
             sender=own,
             pool=pool,
@@ -72,13 +72,15 @@
         self, own: identifiers.Incarnation, pool: str
     ) -> slot_messages.SlotsListed:
         """Return all of this host's claims at a pool."""
-        claims = self.at(pool)
+        claims = self.in_pool(pool)
         now_ms = self._timer.now_ms()
         return slot_messages.SlotsListed(
             sender=own,
             pool=pool,
             waiting=tuple(
-                attrs.evolve(claim.request, waited_ms=now_ms - claim.asked_ms)
+                attrs.evolve(
+                    claim.request, waited_ms=now_ms - claim.requested_ms
+                )
                 for claim in claims
                 if not claim.worker
             ),
--- a/src/carobfork/coordination/compactions.py
+++ b/src/carobfork/coordination/compactions.py
@@ -69,7 +69,7 @@
         self._home = home
         self._adoptions = adoptions
         self._sealer = sealer
-        self._estates = seals.EstateReader(sealer)
+        self._estates = seals.JournalTreeReader(sealer)
         self._numbers = itertools.count(1)
         self._progress = _Progress(home.journal)
 
@@ -82,14 +82,14 @@
             except exceptions.CarobforkError as error:
                 logger.warning('A compaction failed.', error=str(error))
 
-    def step(self, least_segments: int = COMPACT_AFTER_SEGMENTS) -> None:
+    def step(self, min_segments: int = COMPACT_AFTER_SEGMENTS) -> None:
         """Compact if enough segments were committed since the last time."""
         journal = self._home.journal
         if journal is not self._progress.journal:
             self._progress = _Progress(journal)
         last_segment = journal.segments.last_number
         fresh = last_segment - self._progress.manifest.last_segment
-        if journal.sealed or journal.stalled or fresh < least_segments:
+        if journal.sealed or journal.stalled or fresh < min_segments:
             return
         self._compact(self._progress, last_segment)
         self._delete(self._progress)
@@ -128,7 +128,7 @@
         summary: chunks.ChunkSummary,
     ) -> None:
         if summary.is_worth_keeping(self._home.table.programs):
-            writer.keep(key)
+            writer.add_existing(key)
             return
         for record in self._sealer.reader.chunk(key):
             self._copy_live(writer, record)
--- a/src/carobfork/coordination/control.py
+++ b/src/carobfork/coordination/control.py
@@ -126,7 +126,7 @@
         """Return a host's newest incarnation, if it is registered."""
         return self._hosts.get(name)
 
-    def note(self, host: routing.EntryHost) -> None:
+    def add(self, host: routing.EntryHost) -> None:
         """Add a host or replace its older incarnation."""
         known = self._hosts.get(host.incarnation.host)
         if known is None or known.incarnation <= host.incarnation:
@@ -237,7 +237,7 @@
 
     def _read(self, change: ports.StoredObject) -> None:
         if change.key.startswith(HOSTS_PREFIX):
-            self._directory.note(decode_host(change.body))
+            self._directory.add(decode_host(change.body))
             return
         handler = self._handlers.get(change.key)
         if handler is not None:
--- a/src/carobfork/coordination/detectors.py
+++ b/src/carobfork/coordination/detectors.py
@@ -5,8 +5,8 @@
 from carobfork import clock
 from carobfork.state import identifiers
 
-SUSPECT_AFTER_MS = 3500
-STALL_MS = 2000
+LIVENESS_TIMEOUT_MS = 3500
+MIN_STALL_MS = 2000
 
 
 class FailureDetector:
@@ -21,26 +21,26 @@
     def __init__(self, timer: clock.Clock) -> None:
         """Start without having heard anyone."""
         self._timer = timer
-        self._heard_ms: dict[identifiers.Incarnation, float] = {}
+        self._last_heartbeat_ms: dict[identifiers.Incarnation, float] = {}
         self._dead: set[identifiers.Incarnation] = set()
         self._ticked_ms = timer.now_ms()
 
-    def hear(self, incarnation: identifiers.Incarnation) -> None:
+    def record_heartbeat(self, incarnation: identifiers.Incarnation) -> None:
         """Note a sign of life."""
-        self._heard_ms[incarnation] = self._timer.now_ms()
+        self._last_heartbeat_ms[incarnation] = self._timer.now_ms()
         self._dead.discard(incarnation)
 
     def is_dead(self, incarnation: identifiers.Incarnation) -> bool:
         """Tell whether a host is taken for dead."""
         return incarnation in self._dead
 
-    def tick(self) -> bool:
+    def start_round(self) -> bool:
         """Begin a round of checks; tell whether this process stood still."""
         now_ms = self._timer.now_ms()
-        stalled = now_ms - self._ticked_ms > STALL_MS
+        stalled = now_ms - self._ticked_ms > MIN_STALL_MS
         self._ticked_ms = now_ms
         if stalled:
-            self._heard_ms.clear()
+            self._last_heartbeat_ms.clear()
         return stalled
 
     def check(self, incarnation: identifiers.Incarnation) -> bool:
@@ -49,14 +49,17 @@
         The first check of a host starts its silence.
         """
         now_ms = self._timer.now_ms()
-        heard_ms = self._heard_ms.setdefault(incarnation, now_ms)
-        if incarnation in self._dead or now_ms - heard_ms <= SUSPECT_AFTER_MS:
+        heard_ms = self._last_heartbeat_ms.setdefault(incarnation, now_ms)
+        if (
+            incarnation in self._dead
+            or now_ms - heard_ms <= LIVENESS_TIMEOUT_MS
+        ):
             return False
         self._dead.add(incarnation)
         return True
 
-    def keep(self, known: Set[identifiers.Incarnation]) -> None:
+    def retain_only(self, known: Set[identifiers.Incarnation]) -> None:
         """Forget all hosts but the known ones."""
         self._dead &= known
-        for incarnation in self._heard_ms.keys() - known:
-            self._heard_ms.pop(incarnation)
+        for incarnation in self._last_heartbeat_ms.keys() - known:
+            self._last_heartbeat_ms.pop(incarnation)
--- a/src/carobfork/coordination/gatherers.py
+++ b/src/carobfork/coordination/gatherers.py
@@ -12,7 +12,7 @@
 COLLECT_TIMEOUT_MS = 2000
 
 
-class HeldRecordGatherer:
+class HeldRecordCollector:
     """Ask every live host that may hold records of an incarnation.
 
     :param members: tells who may hold them.
@@ -24,7 +24,7 @@
         self,
         members: membership.Membership,
         link: ports.PeerLink,
-        own_holdings: holdings.PeerHoldings,
+        own_holdings: holdings.HeldRecordBuffer,
     ) -> None:
         """Remember whom to ask."""
         self._members = members
--- a/src/carobfork/coordination/gone_programs.py
+++ b/src/carobfork/coordination/gone_programs.py
@@ -58,7 +58,7 @@
         for program in tree:
             self._models.cancel(program.identifier, reason)
         for end in ends:
-            journals.wait_for(end.kept, END_TIMEOUT_MS)
+            journals.wait_for(end.durable, END_TIMEOUT_MS)
         self.ended += len(tree)
         gevent.spawn(self._release, tree, ends)
 
--- a/src/carobfork/coordination/handovers.py
+++ b/src/carobfork/coordination/handovers.py
@@ -29,8 +29,8 @@
 FLUSH_TIMEOUT_MS = 5000
 RECORDS_TIMEOUT_MS = 10_000
 FINISH_TIMEOUT_MS = 60_000
-BATCH_RECORDS = 200
-ATTEMPTS = 3
+MAX_BATCH_RECORDS = 200
+MAX_ATTEMPTS = 3
 _POLL_MS = 50
 
 logger = structlog.get_logger(part='handovers')
@@ -85,7 +85,7 @@
         link: ports.PeerLink,
         codec: ports.RecordCodec,
         requests: local_requests.LocalRequests,
-        under_way: Callable[[], set[str]],
+        programs_in_flight: Callable[[], set[str]],
     ) -> None:
         """Prepare the handover; ``run`` begins it."""
         self._home = home
@@ -93,7 +93,7 @@
         self._link = link
         self._codec = codec
         self._requests = requests
-        self._under_way = under_way
+        self._under_way = programs_in_flight
         self._queue: list[journals.Entry] = []
         self._queued = event.Event()
         self._sent = 0
@@ -106,26 +106,26 @@
         """
         self._requests.pause()
         journal = self._home.journal
-        journal.diversion = self._take
+        journal.diversion = self._enqueue
         try:
             successor = self._ask_any()
         except exceptions.CarobforkError as error:
             logger.warning('The programs stay here.', error=str(error))
-            self._keep_all(journal)
+            self._record_locally(journal)
             self._requests.resume(successor=None)
             return
         journal.seal()
         self._requests.resume(successor)
         self._finish(successor)
 
-    def _keep_all(self, journal: journals.Journal) -> None:
+    def _record_locally(self, journal: journals.Journal) -> None:
         """Record here what was to be sent to a successor."""
         if not journal.sealed:
             journal.end_diversion(self._queue)
             return
         # A successor has the programs although it did not confirm it.
         for entry in self._queue:
-            entry.fail(_lost('the journal is sealed'))
+            entry.fail(_unconfirmed_error('the journal is sealed'))
 
     def _ask_any(self) -> routing.EntryHost:
         """Ask hosts that stay until one has taken the programs.
@@ -157,7 +157,7 @@
 
     def _candidates(self) -> list[routing.EntryHost]:
         staying = self._members.staying()
-        count = min(ATTEMPTS, len(staying))
+        count = min(MAX_ATTEMPTS, len(staying))
         return random.sample(staying, count)
 
     def _ask(self, successor: routing.EntryHost) -> routing.EntryHost:
@@ -191,7 +191,7 @@
     def _busy(self) -> set[str]:
         return self._under_way() | self._requests.programs()
 
-    def _take(self, entry: journals.Entry) -> None:
+    def _enqueue(self, entry: journals.Entry) -> None:
         self._queue.append(entry)
         self._queued.set()
 
@@ -199,7 +199,7 @@
         while True:
             self._queued.wait()
             while self._queue:
-                self._send(successor, self._queue[:BATCH_RECORDS])
+                self._send(successor, self._queue[:MAX_BATCH_RECORDS])
             self._queued.clear()
 
     def _send(
@@ -212,17 +212,17 @@
         except exceptions.CarobforkError as error:
             logger.warning('Records were not handed over.', error=str(error))
             for lost in batch:
-                lost.fail(_lost(error))
+                lost.fail(_unconfirmed_error(error))
         else:
             for entry in batch:
-                entry.note_committed(self._home.journal.apply)
+                entry.mark_committed(self._home.journal.apply)
         self._sent += len(batch)
         self._queue = self._queue[len(batch) :]
 
     def _request(
         self, successor: routing.EntryHost, request: HandedRecords
     ) -> None:
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             try:
                 self._link.request(
                     successor.peer_address, request, RECORDS_TIMEOUT_MS
@@ -238,7 +238,7 @@
         return self._members.own.incarnation
 
 
-def _lost(reason: object) -> exceptions.UnknownOutcomeError:
+def _unconfirmed_error(reason: object) -> exceptions.UnknownOutcomeError:
     return exceptions.UnknownOutcomeError(
         f'the successor did not confirm the record: {reason}',
         step='hand over',
--- a/src/carobfork/coordination/holdings.py
+++ b/src/carobfork/coordination/holdings.py
@@ -14,9 +14,9 @@
 from carobfork.coordination import messages, ports
 from carobfork.state import identifiers
 
-HELD_BYTES = 32_000_000
-PAGE_BYTES = 500_000
-FENCES = 1000
+MAX_HELD_BYTES = 32_000_000
+MAX_PAGE_BYTES = 500_000
+MAX_FENCES = 1000
 _STEP = 'hold records'
 
 
@@ -85,7 +85,7 @@
     owner: identifiers.Incarnation
 
 
-class PeerHoldings:
+class HeldRecordBuffer:
     """Hold other hosts' records.
 
     :param link: where peers ask.
@@ -116,7 +116,7 @@
                 'the owner is being taken over', step=_STEP
             )
         size = sum(len(entry.encoded) for entry in message.entries)
-        if self.held_bytes + size > HELD_BYTES:
+        if self.held_bytes + size > MAX_HELD_BYTES:
             raise exceptions.OverloadedError(
                 'too many records are held', step=_STEP
             )
@@ -142,13 +142,13 @@
     def collect(self, message: CollectRecords) -> RecordsCollected:
         """Return a page of an owner's records and hold no more for it."""
         self._fences[message.owner] = message.last_segment
-        while len(self._fences) > FENCES:
+        while len(self._fences) > MAX_FENCES:
             self._fences.pop(next(iter(self._fences)))
         held = self._held.get(message.owner, {})
         size = 0
         page = []
         for number in sorted(held):
-            if number > message.after_record and size < PAGE_BYTES:
+            if number > message.after_record and size < MAX_PAGE_BYTES:
                 size += len(held[number])
                 page.append(HeldRecord(number, held[number]))
         return RecordsCollected(tuple(page))
--- a/src/carobfork/coordination/homes.py
+++ b/src/carobfork/coordination/homes.py
@@ -123,7 +123,7 @@
         :raises PlatformError: not kept in time; it still may be.
         """
         self.require_owned(program)
-        self.journal.keep(record, timeout_ms)
+        self.journal.append_durable(record, timeout_ms)
 
     def note(
         self, program: programs.Program, record: records.Record
@@ -213,7 +213,7 @@
             token_digest=identifiers.digest(opened.token.encode()),
             parent=parent,
         )
-        self.journal.keep(record, OPEN_TIMEOUT_MS)
+        self.journal.append_durable(record, OPEN_TIMEOUT_MS)
         self._end_orphan(parent, opened.program)
         return opened
 
--- a/src/carobfork/coordination/intents.py
+++ b/src/carobfork/coordination/intents.py
@@ -60,7 +60,7 @@
         entry = self._home.journal.enqueue(withdrawal)
         name = (call.program, call.key)
         self._withdrawing.add(name)
-        entry.kept.rawlink(lambda _: self._withdrawing.discard(name))
+        entry.durable.rawlink(lambda _: self._withdrawing.discard(name))
 
 
 def _unrecorded() -> exceptions.NotRunError:
--- a/src/carobfork/coordination/journals.py
+++ b/src/carobfork/coordination/journals.py
@@ -17,8 +17,8 @@
 from carobfork.coordination import appenders, ports, segments
 from carobfork.state import identifiers, records
 
-SEGMENT_BYTES = 700_000
-PENDING_BYTES = 16_000_000
+MAX_SEGMENT_BYTES = 700_000
+MAX_PENDING_BYTES = 16_000_000
 COMMIT_INTERVAL_MS = 50
 _STEP = 'append'
 _PEER = 'platform'
@@ -38,27 +38,27 @@
     record: records.Record
     encoded: bytes
     committed: event.AsyncResult = attrs.Factory(event.AsyncResult)
-    kept: event.AsyncResult = attrs.Factory(event.AsyncResult)
-    offered: bool = False
+    durable: event.AsyncResult = attrs.Factory(event.AsyncResult)
+    sent_to_peers: bool = False
     applied: bool = False
 
-    def note_kept(self, apply: Callable[[records.Record], None]) -> None:
+    def mark_durable(self, apply: Callable[[records.Record], None]) -> None:
         """Apply the record once and tell those who wait for it."""
         if not self.applied:
             self.applied = True
             apply(self.record)
-            self.kept.set()
+            self.durable.set()
 
-    def note_committed(self, apply: Callable[[records.Record], None]) -> None:
+    def mark_committed(self, apply: Callable[[records.Record], None]) -> None:
         """Note that a journal holds the record."""
-        self.note_kept(apply)
+        self.mark_durable(apply)
         self.committed.set()
 
     def fail(self, error: Exception) -> None:
         """Tell those who wait that the record was not committed."""
         self.committed.set_exception(error)
         if not self.applied:
-            self.kept.set_exception(error)
+            self.durable.set_exception(error)
 
 
 class Journal:
@@ -113,12 +113,14 @@
         """
         wait_for(self.enqueue(record).committed, timeout_ms)
 
-    def keep(self, record: records.Record, timeout_ms: int | None) -> None:
+    def append_durable(
+        self, record: records.Record, timeout_ms: int | None
+    ) -> None:
         """Append a record and wait until the platform or two peers hold it.
 
         Parameters and errors are those of ``append``.
         """
-        wait_for(self.enqueue(record).kept, timeout_ms)
+        wait_for(self.enqueue(record).durable, timeout_ms)
 
     def enqueue(self, record: records.Record) -> Entry:
         """Append a record without waiting for its commit.
@@ -133,7 +135,7 @@
             return entry
         if self.sealed:
             raise appenders.sealed_error(self.incarnation)
-        if self._pending_bytes > PENDING_BYTES:
+        if self._pending_bytes > MAX_PENDING_BYTES:
             raise exceptions.PlatformError(
                 'too many records wait for the platform', step=_STEP, peer=_PEER
             )
@@ -153,7 +155,7 @@
 
     def withdraw(self, entry: Entry) -> bool:
         """Take an entry back and say whether nothing holds it."""
-        if entry.offered or entry not in self._pending:
+        if entry.sent_to_peers or entry not in self._pending:
             return False
         self._pending.remove(entry)
         self._pending_bytes -= len(entry.encoded)
@@ -163,12 +165,12 @@
         """Return the entries that are not committed, oldest first."""
         return [*self._in_flight, *self._pending]
 
-    def note_kept(self, entries: list[Entry]) -> None:
+    def mark_durable(self, entries: list[Entry]) -> None:
         """Apply entries that peers hold and tell those who wait."""
         if self.sealed:
             return
         for entry in entries:
-            entry.note_kept(self.apply)
+            entry.mark_durable(self.apply)
 
     def seal(self) -> None:
         """Refuse all further records; another host owns the programs."""
@@ -201,7 +203,7 @@
         except exceptions.SealedError:
             self.seal()
         else:
-            self._note_committed()
+            self._mark_batch_committed()
         finally:
             self._in_flight = []
 
@@ -210,7 +212,7 @@
         count = 0
         for entry in self._pending:
             size += len(entry.encoded)
-            if count and size > SEGMENT_BYTES:
+            if count and size > MAX_SEGMENT_BYTES:
                 break
             count += 1
         batch = self._pending[:count]
@@ -227,13 +229,13 @@
             [entry.encoded for entry in batch],
         )
 
-    def _note_committed(self) -> None:
+    def _mark_batch_committed(self) -> None:
         if self.sealed:
             return
         self.records_committed += len(self._in_flight)
         self.last_record = self._in_flight[-1].number
         for entry in self._in_flight:
-            entry.note_committed(self.apply)
+            entry.mark_committed(self.apply)
 
 
 def wait_for(settled: event.AsyncResult, timeout_ms: int | None) -> None:
--- a/src/carobfork/coordination/keepers.py
+++ b/src/carobfork/coordination/keepers.py
@@ -15,14 +15,14 @@
 )
 from carobfork.state import identifiers
 
-COPIES = 2
+PEER_REPLICAS = 2
 CHECK_INTERVAL_MS = 100
 HOLD_TIMEOUT_MS = 1000
 
 logger = structlog.get_logger(part='keepers')
 
 
-class RecordKeeper:
+class RecordReplicator:
     """Offer uncommitted records to peers for as long as commits stall.
 
     :param members: who may hold them.
@@ -40,7 +40,7 @@
         self._members = members
         self._link = link
         self._journal = journal
-        self._of: journals.Journal | None = None
+        self._current_journal: journals.Journal | None = None
         self._held: dict[routing.EntryHost, int] = {}
 
     def run(self) -> None:
@@ -52,8 +52,8 @@
     def step(self) -> None:
         """Offer records if commits stall, have them dropped if they do not."""
         journal = self._journal()
-        if journal is not self._of:
-            self._of = journal
+        if journal is not self._current_journal:
+            self._current_journal = journal
             self._held.clear()
         if journal.stalled and not journal.sealed:
             self._offer(journal)
@@ -63,17 +63,19 @@
     def _offer(self, journal: journals.Journal) -> None:
         entries = journal.uncommitted()
         holders = self._holders(journal.incarnation)
-        if len(holders) < COPIES:
+        if len(holders) < PEER_REPLICAS:
             return
         for entry in entries:
-            entry.offered = True
+            entry.sent_to_peers = True
         replies = [
             gevent.spawn(self._hold, host, journal.incarnation, entries)
             for host in holders
         ]
         gevent.joinall(replies)
         kept = min(self._held.get(host, 0) for host in holders)
-        journal.note_kept([entry for entry in entries if entry.number <= kept])
+        journal.mark_durable(
+            [entry for entry in entries if entry.number <= kept]
+        )
 
     def _holders(
         self, incarnation: identifiers.Incarnation
@@ -81,7 +83,7 @@
         live = {host.incarnation for host in self._members.live()}
         successors = self._members.successors(incarnation.host)
         return [host for host in successors if host.incarnation in live][
-            :COPIES
+            :PEER_REPLICAS
         ]
 
     def _hold(
@@ -120,9 +122,9 @@
     entries: list[journals.Entry],
 ) -> list[list[holdings.HeldRecord]]:
     pages: list[list[holdings.HeldRecord]] = []
-    size = holdings.PAGE_BYTES
+    size = holdings.MAX_PAGE_BYTES
     for entry in entries:
-        if size >= holdings.PAGE_BYTES:
+        if size >= holdings.MAX_PAGE_BYTES:
             pages.append([])
             size = 0
         pages[-1].append(holdings.HeldRecord(entry.number, entry.encoded))
--- a/src/carobfork/coordination/membership.py
+++ b/src/carobfork/coordination/membership.py
@@ -59,8 +59,8 @@
         self._leaving: set[identifiers.Incarnation] = set()
         self._listeners: list[DeathListener] = []
         self._version_listeners: list[VersionListener] = []
-        link.on(messages.Heartbeat, self._hear)
-        link.on(messages.Leaving, self._note_leaving)
+        link.on(messages.Heartbeat, self._handle_heartbeat)
+        link.on(messages.Leaving, self._handle_leaving)
 
     def live(self) -> list[routing.EntryHost]:
         """Return the hosts believed to be alive, this one included."""
@@ -127,7 +127,7 @@
         own_name = self.own.incarnation.host
         for successor in rings.successors(registered, own_name):
             self._link.send(successor.peer_address, heartbeat)
-        if self._detector.tick():
+        if self._detector.start_round():
             logger.warning('This process stood still for a while.')
         for monitored in rings.predecessors(registered, own_name):
             if self._detector.check(monitored.incarnation):
@@ -139,17 +139,17 @@
         for listener in self._listeners:
             listener(host)
 
-    def _note_leaving(self, leaving: messages.Leaving) -> messages.Noted:
+    def _handle_leaving(self, leaving: messages.Leaving) -> messages.Noted:
         self._leaving.add(leaving.sender)
         return messages.Noted()
 
     def _forget_old_incarnations(self) -> None:
         known = {host.incarnation for host in self._directory.registered()}
         self._leaving &= known
-        self._detector.keep(known)
+        self._detector.retain_only(known)
 
-    def _hear(self, heartbeat: messages.Heartbeat) -> None:
-        self._detector.hear(heartbeat.sender)
+    def _handle_heartbeat(self, heartbeat: messages.Heartbeat) -> None:
+        self._detector.record_heartbeat(heartbeat.sender)
         if heartbeat.leaving:
             self._leaving.add(heartbeat.sender)
         sender = self._directory.find(heartbeat.sender.host)
--- a/src/carobfork/coordination/ownerships.py
+++ b/src/carobfork/coordination/ownerships.py
@@ -12,7 +12,7 @@
 from carobfork.state import records
 
 CHECK_INTERVAL_MS = 500
-STANDSTILL_MS = 2000
+MIN_STANDSTILL_MS = 2000
 CONFIRM_TIMEOUT_MS = 5000
 
 
@@ -27,31 +27,33 @@
         self.standstills = 0
         self._confirmed = 0
         self._timer = timer
-        self._seen_ms = timer.now_ms()
+        self._last_check_ms = timer.now_ms()
 
     def run(self) -> None:
         """Look at the clock until the greenlet is killed."""
         while True:
-            self.note()
+            self.check_clock()
             gevent.sleep(clock.to_seconds(CHECK_INTERVAL_MS))
 
-    def note(self) -> None:
+    def check_clock(self) -> None:
         """Compare the clock with the last look at it."""
         now_ms = self._timer.now_ms()
-        if now_ms - self._seen_ms > STANDSTILL_MS:
+        if now_ms - self._last_check_ms > MIN_STANDSTILL_MS:
             self.standstills += 1
-        self._seen_ms = now_ms
+        self._last_check_ms = now_ms
 
     def confirm(self, journal: journals.Journal) -> None:
         """Make sure that the journal is open if there was a standstill.
 
         :raises NotRunError: it is sealed, or this cannot be told.
         """
-        self.note()
+        self.check_clock()
         while self._confirmed != self.standstills:
             seen = self.standstills
             try:
-                journal.keep(records.OwnershipChecked(), CONFIRM_TIMEOUT_MS)
+                journal.append_durable(
+                    records.OwnershipChecked(), CONFIRM_TIMEOUT_MS
+                )
             except exceptions.PlatformError as error:
                 raise exceptions.NotRunError(
                     'the ownership could not be confirmed',
@@ -59,4 +61,4 @@
                     peer='platform',
                 ) from error
             self._confirmed = max(self._confirmed, seen)
-            self.note()
+            self.check_clock()
--- a/src/carobfork/coordination/peer_slots.py
+++ b/src/carobfork/coordination/peer_slots.py
@@ -59,7 +59,7 @@
         self._pools = pools.split_all(bundle)
         self._routes.apply(self._pools)
         for name in self._claims.pools() - set(self._pools):
-            for claim in self._claims.at(name):
+            for claim in self._claims.in_pool(name):
                 claim.granted.set_exception(_no_pool(claim.request.model))
 
     @contextlib.contextmanager
--- a/src/carobfork/coordination/registrations.py
+++ b/src/carobfork/coordination/registrations.py
@@ -35,7 +35,7 @@
     def register(self) -> routing.EntryHost:
         """Register a new incarnation, however long the platform is down."""
         self.own = control.register_host(self._store, self._describe)
-        self._directory.note(self.own)
+        self._directory.add(self.own)
         return self.own
 
     def publish(
@@ -77,5 +77,5 @@
         except exceptions.ConflictError:
             return False
         self.own = host
-        self._directory.note(host)
+        self._directory.add(host)
         return True
--- a/src/carobfork/coordination/rollouts.py
+++ b/src/carobfork/coordination/rollouts.py
@@ -12,7 +12,7 @@
 from carobfork.coordination import control, ports
 from carobfork.state import bundles
 
-ATTEMPTS = 10
+MAX_ATTEMPTS = 10
 RETRY_DELAY_MS = 200
 _STEP = 'roll'
 _PEER = 'platform'
@@ -51,7 +51,7 @@
         :raises PlatformError: it does not answer, and nothing was sent.
         :raises UnknownOutcomeError: the platform did not tell the outcome.
         """
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             try:
                 return self._attempt()
             except exceptions.ConflictError as conflict:
--- a/src/carobfork/coordination/seals.py
+++ b/src/carobfork/coordination/seals.py
@@ -115,7 +115,7 @@
 
 
 @attrs.frozen
-class Estate:
+class JournalTree:
     """What a journal and those that it adopted hold.
 
     ``incarnations`` are all whose programs are among the records.
@@ -125,7 +125,7 @@
     incarnations: frozenset[identifiers.Incarnation]
 
 
-class EstateReader:
+class JournalTreeReader:
     """Read a sealed journal and all journals that it adopted.
 
     :param sealer: seals adoptions that their taker did not finish.
@@ -139,7 +139,7 @@
         self,
         incarnation: identifiers.Incarnation,
         path: tuple[identifiers.Incarnation, ...],
-    ) -> Estate:
+    ) -> JournalTree:
         """Return an incarnation's estate.
 
         :param path: who adopted it, the present taker first.
@@ -156,13 +156,13 @@
                 estate = self._adopted(record, (*path, incarnation))
                 found.extend(estate.records)
                 incarnations |= estate.incarnations
-        return Estate(found, frozenset(incarnations))
+        return JournalTree(found, frozenset(incarnations))
 
     def _adopted(
         self,
         record: records.Adopted,
         path: tuple[identifiers.Incarnation, ...],
-    ) -> Estate:
+    ) -> JournalTree:
         """Return an adopted estate, nothing if another host won it.
 
         The adoption was recorded before the seal, so the seal decides. One
@@ -171,7 +171,7 @@
         winner = self._sealer.seal(record.incarnation, path[0])
         if winner in {str(adopter) for adopter in path}:
             return self.read(record.incarnation, path)
-        return Estate([], frozenset())
+        return JournalTree([], frozenset())
 
 
 def _batches(
@@ -180,7 +180,7 @@
     batch: list[holdings.HeldRecord] = []
     size = 0
     for entry in entries:
-        if batch and size + len(entry.encoded) > journals.SEGMENT_BYTES:
+        if batch and size + len(entry.encoded) > journals.MAX_SEGMENT_BYTES:
             yield batch
             batch = []
             size = 0
--- a/src/carobfork/coordination/segments.py
+++ b/src/carobfork/coordination/segments.py
@@ -52,7 +52,7 @@
 
 
 @attrs.frozen
-class Content:
+class JournalContent:
     """Everything that a journal holds, in order."""
 
     tail: Tail
@@ -104,14 +104,14 @@
             )
         return found
 
-    def read(self, incarnation: identifiers.Incarnation) -> Content:
+    def read(self, incarnation: identifiers.Incarnation) -> JournalContent:
         """Return what a journal holds, its compacted part first."""
         numbered = [
             (number, self.segment(incarnation, number))
             for number in self.numbers(incarnation)
         ]
         if not numbered:
-            return Content(Tail(), [])
+            return JournalContent(Tail(), [])
         manifest = last_manifest(found for _, found in numbered)
         content: list[records.Record] = []
         for key in manifest.chunks:
@@ -119,7 +119,7 @@
         for number, found in numbered:
             if number > manifest.last_segment:
                 content.extend(found)
-        return Content(
+        return JournalContent(
             _tail_of(*numbered[-1]),
             [record for record in content if not _is_frame(record)],
         )
--- a/src/carobfork/coordination/service_calls.py
+++ b/src/carobfork/coordination/service_calls.py
@@ -196,7 +196,7 @@
                 # Too much waits for the platform already; try again.
                 gevent.sleep(clock.to_seconds(_RETRY_AFTER_MS))
                 continue
-            journals.wait_for(entry.kept, timeout_ms=None)
+            journals.wait_for(entry.durable, timeout_ms=None)
             return
 
     def _exchange(
--- a/src/carobfork/coordination/successions.py
+++ b/src/carobfork/coordination/successions.py
@@ -34,7 +34,7 @@
     entries: list[journals.Entry] = attrs.Factory(list)
 
 
-class Successions:
+class HandoverReceiver:
     """Serve the programs of stopping hosts, and hold their turns.
 
     :param home: gets the programs.
@@ -59,7 +59,7 @@
         self._predecessors: dict[identifiers.Incarnation, _Predecessor] = {}
         members.on_death(self._forget)
         link.on(handovers.HandOver, self.accept)
-        link.on(handovers.HandedRecords, self.keep)
+        link.on(handovers.HandedRecords, self.record)
         link.on(handovers.ProgramsIdle, self.release)
 
     def accept(self, message: handovers.HandOver) -> messages.Noted:
@@ -72,15 +72,15 @@
                 'another host took the programs over', step='hand over'
             )
         self._hold(message)
-        self._taker.answer(takeovers.TakeOver(message.sender))
+        self._taker.handle_take_over(takeovers.TakeOver(message.sender))
         return messages.Noted()
 
-    def keep(self, message: handovers.HandedRecords) -> messages.Noted:
+    def record(self, message: handovers.HandedRecords) -> messages.Noted:
         """Record what a stopping host's calls brought; a repeat is skipped.
 
         :raises SealedError: this host has lost the programs itself.
         """
-        predecessor = self._of(message.sender)
+        predecessor = self._predecessor(message.sender)
         content = self._codec.unpack(message.segment)
         fresh = content[max(predecessor.received - message.first, 0) :]
         predecessor.entries = [
@@ -94,14 +94,14 @@
 
     def release(self, message: handovers.ProgramsIdle) -> None:
         """Let programs go on whose calls have been finished."""
-        predecessor = self._of(message.sender)
+        predecessor = self._predecessor(message.sender)
         for program in message.programs:
             released = predecessor.holds.pop(program, None)
             if released is not None:
                 released.set()
 
     def _hold(self, message: handovers.HandOver) -> None:
-        predecessor = self._of(message.sender)
+        predecessor = self._predecessor(message.sender)
         for program in message.busy:
             if program in self._home.table.programs:
                 released = predecessor.holds.setdefault(program, event.Event())
@@ -125,5 +125,7 @@
             for released in predecessor.holds.values():
                 released.set()
 
-    def _of(self, incarnation: identifiers.Incarnation) -> _Predecessor:
+    def _predecessor(
+        self, incarnation: identifiers.Incarnation
+    ) -> _Predecessor:
         return self._predecessors.setdefault(incarnation, _Predecessor())
--- a/src/carobfork/coordination/takeovers.py
+++ b/src/carobfork/coordination/takeovers.py
@@ -60,7 +60,7 @@
     """A silent host, and when to look at its journal again."""
 
     host: routing.EntryHost
-    look_at_ms: float = 0
+    next_check_ms: float = 0
     backoff_ms: float = FIRST_BACKOFF_MS
 
 
@@ -86,9 +86,9 @@
     ) -> None:
         """Start with nothing adopted."""
         self.adopted: frozenset[identifiers.Incarnation] = frozenset()
-        self.last_span_ms = 0
+        self.last_duration_ms = 0
         """How long the last takeover took, from its first write on."""
-        self.busy = lock.RLock()
+        self.transfer_lock = lock.RLock()
         """Held while records move between journals."""
         self._home = home
         self._registration = registration
@@ -102,7 +102,7 @@
         """Incarnations that other hosts were faster to take over."""
         self._claimed: set[identifiers.Incarnation] = set()
         self._taken: frozenset[identifiers.Incarnation] = frozenset()
-        self._woken = event.Event()
+        self._wakeup = event.Event()
         members.on_death(self.suspect)
 
     @property
@@ -115,7 +115,7 @@
     def suspect(self, host: routing.EntryHost) -> None:
         """Take a host over once it is this host's turn."""
         self._suspects[host.incarnation.host] = _Suspect(host)
-        self._woken.set()
+        self._wakeup.set()
 
     def run(self) -> None:
         """Take over whatever falls to this host, until killed."""
@@ -124,20 +124,20 @@
                 self.step()
             except exceptions.CarobforkError as error:
                 logger.warning('A step will be retried.', error=str(error))
-            self._woken.clear()
-            self._woken.wait(clock.to_seconds(CHECK_INTERVAL_MS))
+            self._wakeup.clear()
+            self._wakeup.wait(clock.to_seconds(CHECK_INTERVAL_MS))
 
     def step(self) -> None:
         """Do what is due now."""
         if _is_adopted_elsewhere(self._members):
             self._home.journal.seal()
         if self._home.journal.sealed:
-            self._start_anew()
+            self._restart()
         for incarnation in self._registration.own.predecessors:
             if incarnation not in self.lost:
-                _attempt(self.take, incarnation)
+                _run_and_log(self.take, incarnation)
         for suspect in list(self._suspects.values()):
-            _attempt(self._consider, suspect)
+            _run_and_log(self._take_over_if_due, suspect)
         self._publish()
 
     def take(self, incarnation: identifiers.Incarnation) -> bool:
@@ -145,11 +145,11 @@
 
         :raises PlatformError: not finished; ask again.
         """
-        with self.busy:
+        with self.transfer_lock:
             if incarnation not in self._taken:
                 started_ms = self._timer.now_ms()
                 self._adopt(incarnation)
-                self.last_span_ms = self._timer.now_ms() - started_ms
+                self.last_duration_ms = self._timer.now_ms() - started_ms
             return incarnation in self._taken
 
     def hand_over(self, host: routing.EntryHost, link: ports.PeerLink) -> None:
@@ -165,7 +165,7 @@
         )
         self._home.journal.seal()
 
-    def answer(self, message: TakeOver) -> TakenOver:
+    def handle_take_over(self, message: TakeOver) -> TakenOver:
         """Take over a host that is stopping.
 
         :raises NotRunError: another host has its programs.
@@ -191,7 +191,7 @@
             self.lost |= {incarnation}
             logger.info('Another host took over.', peer=winner)
             return
-        estate = seals.EstateReader(self._sealer).read(incarnation, (own,))
+        estate = seals.JournalTreeReader(self._sealer).read(incarnation, (own,))
         self._admit(own, estate)
 
     def _claim(self, incarnation: identifiers.Incarnation) -> None:
@@ -204,7 +204,7 @@
         self._claimed.add(incarnation)
 
     def _admit(
-        self, own: identifiers.Incarnation, estate: seals.Estate
+        self, own: identifiers.Incarnation, estate: seals.JournalTree
     ) -> None:
         """Put all programs into the table at once, so none is seen in part."""
         table = programs.ProgramTable()
@@ -219,13 +219,13 @@
         self._taken |= estate.incarnations
         logger.info('Programs were adopted.', programs=len(table.programs))
 
-    def _consider(self, suspect: _Suspect) -> None:
+    def _take_over_if_due(self, suspect: _Suspect) -> None:
         incarnation = suspect.host.incarnation
         if self._is_settled(suspect.host):
             self._suspects.pop(incarnation.host, None)
             return
         now_ms = self._timer.now_ms()
-        is_due = now_ms >= suspect.look_at_ms
+        is_due = now_ms >= suspect.next_check_ms
         if not is_due or not self._members.is_first_successor(incarnation.host):
             return
         gevent.sleep(clock.to_seconds(random.uniform(0, JITTER_MS)))
@@ -233,7 +233,7 @@
             self.take(earlier)
         # Where another host sealed it and died in turn, that host's own
         # takeover brings these programs along; look again, ever less often.
-        suspect.look_at_ms = now_ms + suspect.backoff_ms
+        suspect.next_check_ms = now_ms + suspect.backoff_ms
         suspect.backoff_ms = min(2 * suspect.backoff_ms, MAX_BACKOFF_MS)
 
     def _is_settled(self, host: routing.EntryHost) -> bool:
@@ -247,12 +247,12 @@
                 return True
         return False
 
-    def _start_anew(self) -> None:
+    def _restart(self) -> None:
         """Go on empty; another host has this incarnation's programs."""
         if self._members.leaving:
             return
         logger.warning('This host goes on as a new incarnation.')
-        with self.busy:
+        with self.transfer_lock:
             own = self._registration.register()
             self._members.own = own
             self.adopted = frozenset()
@@ -277,7 +277,7 @@
     return any(own in other.adopted for other in members.registered())
 
 
-def _attempt(action: Callable, subject: object) -> None:
+def _run_and_log(action: Callable, subject: object) -> None:
     """Do one of several things; its failure must not keep the others."""
     try:
         action(subject)
--- a/src/carobfork/recording.py
+++ b/src/carobfork/recording.py
@@ -65,11 +65,11 @@
     ) -> Iterator[None]:
         """Take over, hold, compact and forget records in this context."""
         self._home = home
-        self._holdings = holdings.PeerHoldings(link)
+        self._holdings = holdings.HeldRecordBuffer(link)
         sealer = seals.Sealer(
             self._store,
             self._codec,
-            gatherers.HeldRecordGatherer(members, link, self._holdings),
+            gatherers.HeldRecordCollector(members, link, self._holdings),
         )
         self.takeovers = takeovers.Takeovers(
             home,
@@ -79,7 +79,7 @@
             self.open_journal,
             self._timer,
         )
-        link.on(takeovers.TakeOver, self.takeovers.answer)
+        link.on(takeovers.TakeOver, self.takeovers.handle_take_over)
         self._compactor = compactions.Compactor(
             self._store, self._codec, home, self.takeovers, sealer
         )
@@ -87,7 +87,7 @@
             home.ownership.run,
             self.takeovers.run,
             self._compactor.run,
-            keepers.RecordKeeper(members, link, lambda: home.journal).run,
+            keepers.RecordReplicator(members, link, lambda: home.journal).run,
             retentions.Retention(self._table, self._timer).run,
         )
         try:
@@ -100,7 +100,7 @@
         journal = self._home.journal
         return {
             'adopted': sorted(map(str, self.takeovers.adopted)),
-            'last_takeover_ms': self.takeovers.last_span_ms,
+            'last_takeover_ms': self.takeovers.last_duration_ms,
             'suspects': self.takeovers.suspects,
             'held_for_peers': self._holdings.counts(),
             'held_bytes': self._holdings.held_bytes,
--- a/src/carobfork/stopping.py
+++ b/src/carobfork/stopping.py
@@ -41,7 +41,7 @@
         members: membership.Membership,
     ) -> None:
         """Take over the programs of hosts that stop, from now on."""
-        self._successions = successions.Successions(
+        self._successions = successions.HandoverReceiver(
             home, taker, members, self._link, self._codec
         )
 
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -45,7 +45,7 @@
         self.addCleanup(self.stopping.die)
         self.addCleanup(self.successor.die)
         self.program = self.stopping.open()
-        self.succession = successions.Successions(
+        self.succession = successions.HandoverReceiver(
             self.successor.home,
             self.successor.takeovers,
             self.successor.members,
@@ -80,7 +80,7 @@
             raise exceptions.ConnectionFailedError('cut', sent=True)
         if isinstance(message, handovers.HandOver):
             return self.succession.accept(message)
-        return self.succession.keep(message)
+        return self.succession.record(message)
 
     def release(self, address, message):
         """Hand a one-way message to the successor."""
@@ -121,7 +121,7 @@
             self.stopping.own.incarnation, 0, codec.pack([record])
         )
         for _ in range(2):
-            self.assertEqual(messages.Noted(), self.succession.keep(batch))
+            self.assertEqual(messages.Noted(), self.succession.record(batch))
         program = self.successor.table.find(self.program)
         self.assertEqual(1, program.ledger.spent_tokens)
 
--- a/tests/test_journals.py
+++ b/tests/test_journals.py
@@ -53,7 +53,7 @@
 
 def kept(entries):
     """Return the records that were acknowledged."""
-    return [entry.record for entry in entries if entry.kept.successful()]
+    return [entry.record for entry in entries if entry.durable.successful()]
 
 
 def spin():
@@ -200,7 +200,7 @@
     def setUp(self):
         """Hold one record."""
         link = stores.DirectLink()
-        self.holdings = holdings.PeerHoldings(link.join(FIRST))
+        self.holdings = holdings.HeldRecordBuffer(link.join(FIRST))
         self.hold(1)
 
     def hold(self, number):
@@ -223,7 +223,7 @@
 
     def test_holds_a_bounded_amount(self):
         """Beyond the limit a record is refused, not kept."""
-        with mock.patch.object(holdings, 'HELD_BYTES', 6):
+        with mock.patch.object(holdings, 'MAX_HELD_BYTES', 6):
             with self.assertRaises(stores.exceptions.OverloadedError):
                 self.hold(2)
         self.assertEqual(self.holdings.held_bytes, 6)
@@ -238,7 +238,7 @@
         self.link = stores.DirectLink()
         self.entries = []
         self.holdings = [
-            holdings.PeerHoldings(self.link.join(peer)) for peer in PEERS
+            holdings.HeldRecordBuffer(self.link.join(peer)) for peer in PEERS
         ]
         self.journal = journals.Journal(
             self.store,
@@ -246,12 +246,12 @@
             OWNER.incarnation,
             lambda record: None,
         )
-        self._keeper = keepers.RecordKeeper(
+        self._keeper = keepers.RecordReplicator(
             stores.Ring(OWNER, PEERS),
             self.link,
             lambda: self.journal,
         )
-        gatherer = gatherers.HeldRecordGatherer(
+        gatherer = gatherers.HeldRecordCollector(
             stores.Ring(THIRD, [FIRST, SECOND]),
             self.link,
             self.holdings[2],
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -27,7 +27,7 @@
         self.own = peer_links.host('entry-1')
         self.other = peer_links.host('entry-2')
         for number in range(1, 5):
-            self.directory.note(peer_links.host(f'entry-{number}'))
+            self.directory.add(peer_links.host(f'entry-{number}'))
         self.members = membership.Membership(
             self.own,
             self.directory,
@@ -74,7 +74,7 @@
         self.link.deliver(messages.Leaving(self.other.incarnation))
         self.rounds(8)
         reborn = peer_links.host('entry-2', number=2)
-        self.directory.note(reborn)
+        self.directory.add(reborn)
         self.rounds(1)
         self.assertIn(reborn, self.members.staying())
         self.assertNotIn(self.other, self.members.live())
@@ -106,9 +106,11 @@
         """What is kept is bounded by the hosts that are registered."""
         detector = detectors.FailureDetector(self.timer)
         for number in range(100):
-            detector.hear(peer_links.host('entry-2', number).incarnation)
-        detector.keep({self.other.incarnation})
-        self.assertEqual(1, len(detector._heard_ms))
+            detector.record_heartbeat(
+                peer_links.host('entry-2', number).incarnation
+            )
+        detector.retain_only({self.other.incarnation})
+        self.assertEqual(1, len(detector._last_heartbeat_ms))
 
 
 class RingTest(unittest.TestCase):
--- a/tests/test_service_calls.py
+++ b/tests/test_service_calls.py
@@ -157,7 +157,7 @@
 
         def freeze(recorder, call):
             record(recorder, call)
-            self.host.timer.advance(ownerships.STANDSTILL_MS + 1)
+            self.host.timer.advance(ownerships.MIN_STANDSTILL_MS + 1)
             self.other.takeovers.take(self.host.incarnation)
 
         with mock.patch.object(intents.IntentRecorder, 'record', freeze):
--- a/tests/test_takeovers.py
+++ b/tests/test_takeovers.py
@@ -196,7 +196,7 @@
 
     def test_replaces_segments_by_chunks(self):
         """A takeover reads a few objects and finds every turn in order."""
-        self.first.compactor.step(least_segments=1)
+        self.first.compactor.step(min_segments=1)
         self.first.answer(self.program, 'last')
         self.assertLess(len(self.store.stored), 10)
         self.second.takeovers.take(self.first.incarnation)
@@ -210,10 +210,10 @@
     def test_keeps_chunks_that_are_full(self):
         """A long history is not copied again with each compaction."""
         self.first.answer(self.program, 'long', 'x' * 500_000)
-        self.first.compactor.step(least_segments=1)
+        self.first.compactor.step(min_segments=1)
         chunks = self.chunks()
         self.first.answer(self.program, 'more')
-        self.first.compactor.step(least_segments=1)
+        self.first.compactor.step(min_segments=1)
         self.assertLess(chunks, self.chunks())
         self.second.takeovers.take(self.first.incarnation)
         self.assertEqual(
@@ -226,7 +226,7 @@
         former = self.first.incarnation
         self.second.takeovers.take(former)
         self.second.answer(self.program, 'after')
-        self.second.compactor.step(least_segments=1)
+        self.second.compactor.step(min_segments=1)
         left = self.second.sealer.reader.numbers(former)
         self.assertEqual(len(left), 1)
         third = recording_hosts.Host('entry-3', self.store)
@@ -237,10 +237,10 @@
 
     def test_drops_forgotten_programs(self):
         """Chunks of programs that ended go with the next compaction."""
-        self.first.compactor.step(least_segments=1)
+        self.first.compactor.step(min_segments=1)
         self.first.table.programs.pop(self.program)
         self.first.open()
-        self.first.compactor.step(least_segments=1)
+        self.first.compactor.step(min_segments=1)
         self.second.takeovers.take(self.first.incarnation)
         self.assertNotIn(self.program, self.second.table.programs)
         self.assertEqual(len(self.second.table.programs), 1)
@@ -253,8 +253,8 @@
             side_effect=exceptions.PlatformError('down'),
         ):
             with self.assertRaises(exceptions.PlatformError):
-                self.first.compactor.step(least_segments=1)
-        self.first.compactor.step(least_segments=1)
+                self.first.compactor.step(min_segments=1)
+        self.first.compactor.step(min_segments=1)
         self.assertEqual(len(self.chunks()), 1)
         self.second.takeovers.take(self.first.incarnation)
         self.assertEqual(self.second.history(self.program), self.keys)
