--- a/src/carobfork/coordination/appenders.py
+++ b/src/carobfork/coordination/appenders.py
@@ -1,4 +1,4 @@
-"""Appenders: create a journal's segments, each exactly once."""
+"""Create the segments of a journal, each exactly once."""
 
 import gevent
 
@@ -12,44 +12,45 @@
 
 
 class SegmentAppender:
-    """Create the next segment by conditional create until it is there.
+    """Append segments by conditional create, retrying until they exist.
 
     :param store: the platform's object API.
-    :param incarnation: the journal's owner.
+    :param incarnation: the owner of the journal.
     """
 
     def __init__(
         self, store: ports.ObjectStore, incarnation: identifiers.Incarnation
     ) -> None:
-        """Start before the first segment."""
+        """Initialize the appender before the first segment."""
         self.last_number = 0
         self.stalled = False
-        """Whether the platform did not answer the last attempt."""
+        """Whether the last create attempt failed without an answer."""
         self.writes = 0
         self._store = store
         self._incarnation = incarnation
         self._closed = False
 
     def append(self, segment: bytes) -> None:
-        """Create the next segment, however long the platform is down.
+        """Create the next segment, retrying while the platform is down.
 
-        :raises SealedError: another host created it.
+        :param segment: the packed records.
+        :raises SealedError: another host created this segment as a seal.
         """
         key = segments.segment_key(self._incarnation, self.last_number + 1)
         while not self._create(key, segment):
-            # The answer may be lost after it took effect: the next attempt
-            # then conflicts, and reading back settles it.
+            # A create may take effect although its answer is lost. The next
+            # attempt then conflicts, and reading the object back settles it.
             self.stalled = True
             gevent.sleep(clock.to_seconds(RETRY_DELAY_MS))
         self.stalled = False
         self.last_number += 1
 
     def close(self) -> None:
-        """Create no further segments."""
+        """Reject all further segments."""
         self._closed = True
 
     def _create(self, key: str, segment: bytes) -> bool:
-        """Try once, and say whether the segment is there."""
+        """Try once and return whether the segment exists."""
         if self._closed:
             raise sealed_error(self._incarnation)
         self.writes += 1
@@ -62,7 +63,10 @@
         return True
 
     def _is_own(self, key: str, segment: bytes) -> bool:
-        """Settle a conflict: this host's own write, or another's seal."""
+        """Return whether the conflicting object is this host's own write.
+
+        :raises SealedError: it is the seal of another host.
+        """
         try:
             found = self._store.fetch(key)
         except exceptions.PlatformError:
@@ -77,7 +81,9 @@
 def sealed_error(
     incarnation: identifiers.Incarnation,
 ) -> exceptions.SealedError:
-    """Return the error of a journal that another host sealed."""
+    """Return the error for appends to a journal sealed by another host."""
     return exceptions.SealedError(
-        f'{incarnation} was taken over', step=_STEP, peer=_PEER
+        f'the journal of {incarnation} is sealed: it was taken over',
+        step=_STEP,
+        peer=_PEER,
     )
--- a/src/carobfork/coordination/bundle_checks.py
+++ b/src/carobfork/coordination/bundle_checks.py
@@ -1,7 +1,7 @@
-"""Bundle checks: what must hold between the parts of a bundle.
+"""Check the consistency of the parts of a bundle.
 
-Checks fill a registry by decorator. They run before a bundle is signed off
-and again on every host, and all problems are reported at once.
+Checks are registered by a decorator. They run before a bundle is signed and
+again on every host; all problems are reported together.
 """
 
 import collections
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class Problem:
-    """Something wrong at a place in a bundle."""
+    """A violated rule and its path in a bundle."""
 
     path: str
     message: str
@@ -49,8 +49,8 @@
 def verify(bundle: bundles.Bundle, source: str) -> None:
     """Check a bundle.
 
-    :param source: what to call the bundle in errors.
-    :raises SettingsError: naming every problem found.
+    :param source: name of the bundle in error messages.
+    :raises SettingsError: the bundle has problems; the error names all.
     """
     problems = [problem for check in CHECKS for problem in check(bundle)]
     if problems:
@@ -63,18 +63,19 @@
 
 @register
 def check_names(bundle: bundles.Bundle) -> Iterator[Problem]:
-    """Names are unique where something is looked up by them."""
+    """Check that names used for lookups are unique."""
     for field in ('ranks', 'programs', 'models', 'services'):
         names = [member.name for member in getattr(bundle, field)]
         yield from _find_duplicates(field, 'name', names)
-    # Engines and servers share one name space: the list of leaving ones.
+    # Model engines and service servers share one name space, because the
+    # list of leaving backend servers names both.
     backend_names = list(_backend_names(bundle))
     yield from _find_duplicates('models and services', 'name', backend_names)
 
 
 @register
 def check_operations(bundle: bundles.Bundle) -> Iterator[Problem]:
-    """A service's operations differ in method or path."""
+    """Check that operations of a service differ in method or path."""
     for index, service in enumerate(bundle.services):
         targets = [
             f'{operation.method} {operation.path}'
@@ -86,7 +87,7 @@
 
 @register
 def check_ranks(bundle: bundles.Bundle) -> Iterator[Problem]:
-    """Programs name ranks of the bundle."""
+    """Check that program kinds name ranks of the bundle."""
     known = [rank.name for rank in bundle.ranks]
     for index, kind in enumerate(bundle.programs):
         if kind.rank not in known:
@@ -98,7 +99,7 @@
 
 @register
 def check_shares(bundle: bundles.Bundle) -> Iterator[Problem]:
-    """Shares are parts of one capacity; each one is checked as a field."""
+    """Check that the shares sum to at most 1; fields check single shares."""
     total = sum(rank.share for rank in bundle.ranks)
     if total > MAX_TOTAL_SHARE + _ROUNDING:
         yield Problem('ranks', f'the shares sum to {total:g}, more than 1')
@@ -106,7 +107,7 @@
 
 @register
 def check_backends(bundle: bundles.Bundle) -> Iterator[Problem]:
-    """Models have workers, services have servers."""
+    """Check that models have workers and services have servers."""
     for index, model in enumerate(bundle.models):
         if not model.workers:
             yield Problem(f'models[{index}].workers', 'there are none')
@@ -117,7 +118,7 @@
 
 @register
 def check_policies(bundle: bundles.Bundle) -> Iterator[Problem]:
-    """Policies are registered ones."""
+    """Check that the policies are registered."""
     for field, registry in POLICY_REGISTRIES.items():
         name = getattr(bundle.policy, field)
         if name not in registry:
--- a/src/carobfork/coordination/bundle_peers.py
+++ b/src/carobfork/coordination/bundle_peers.py
@@ -1,8 +1,8 @@
-"""Bundle peers: learn the bundle in force from other entry hosts.
+"""Fetch the bundle in force from other entry hosts.
 
-A host that starts while the platform is down asks the peers of its settings.
-A host that hears of a newer version than its own asks whoever has it, so a
-bundle arrives even where the watch is late.
+A host that starts while the platform is down asks the seed peers of its
+settings. A host that receives a heartbeat with a newer bundle version asks
+the sender, so that a bundle arrives even if the watch is late.
 """
 
 from collections.abc import Sequence
@@ -26,7 +26,7 @@
 @messages.register
 @attrs.frozen
 class BundleAsked:
-    """A host wants the bundle if it is newer than its own version."""
+    """Requests the bundle in force if it is newer than ``version``."""
 
     version: int
 
@@ -34,18 +34,18 @@
 @messages.register
 @attrs.frozen
 class BundleGiven:
-    """The signed bundle in force, empty if it is not newer."""
+    """Carries the signed bundle in force, empty if it is not newer."""
 
     version: int
     envelope: bytes = b''
 
 
 class BundlePeers:
-    """Give the bundle in force to peers, and ask them for it.
+    """Exchange the bundle in force with peers.
 
-    :param link: carries the messages.
+    :param link: sends and receives the messages.
     :param holder: holds the bundle in force.
-    :param gate: checks what peers give.
+    :param gate: verifies bundles from peers.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         holder: control.BundleHolder,
         gate: control.BundleGate,
     ) -> None:
-        """Start to answer peers."""
+        """Initialize and register the handler for requests of peers."""
         self._link = link
         self._holder = holder
         self._gate = gate
@@ -62,16 +62,16 @@
         link.on(BundleAsked, self.answer)
 
     def run(self, seeds: Sequence[bundles.Address]) -> None:
-        """Ask the seeds until one has given a bundle.
+        """Ask the seeds until a bundle is in force.
 
-        :param seeds: peers' addresses from the settings.
+        :param seeds: addresses of peers from the settings.
         """
         while seeds and not self._holder.version:
             self.ask(seeds)
             gevent.sleep(clock.to_seconds(RETRY_DELAY_MS))
 
     def ask(self, addresses: Sequence[bundles.Address]) -> None:
-        """Take the newest bundle that peers have; older ones never count."""
+        """Put the newest valid bundle of the peers in force."""
         answers = pool.Pool(MAX_PARALLEL_REQUESTS).map(self._ask_one, addresses)
         newest_first = sorted(
             filter(None, answers),
@@ -83,7 +83,7 @@
                 self._take(given)
 
     def handle_version(self, version: int, address: bundles.Address) -> None:
-        """Ask a peer that has a newer version, unless one is asked already."""
+        """Ask a peer with a newer version, unless a request is in flight."""
         if version > self._holder.version and not self._asking:
             self._asking = True
             gevent.spawn(self._ask_newer, address)
@@ -106,7 +106,7 @@
         try:
             return self._link.request(address, asked, ASK_TIMEOUT_MS)
         except exceptions.CarobforkError as error:
-            logger.info('A peer gave no bundle.', error=str(error))
+            logger.info('A peer did not provide a bundle.', error=str(error))
             return None
 
     def _take(self, given: BundleGiven) -> None:
--- a/src/carobfork/coordination/chunks.py
+++ b/src/carobfork/coordination/chunks.py
@@ -1,4 +1,4 @@
-"""Chunks: compacted records, each object under the platform's size limit."""
+"""Write compacted records to chunks below the platform's object size limit."""
 
 from collections.abc import Callable, Container
 
@@ -8,21 +8,24 @@
 from carobfork.state import programs, records, spending
 
 _MIN_LIVE_RATIO = 0.5
-"""A chunk is copied once less than this part of it is worth keeping."""
+"""A chunk is rewritten once its live records fill less than this ratio."""
 
 
 @attrs.define
 class ChunkSummary:
-    """How many bytes a chunk holds of each program."""
+    """Holds the number of bytes of each program in a chunk."""
 
     program_bytes: dict[str, int] = attrs.Factory(dict)
 
     def add(self, program: str, size: int) -> None:
-        """Count a record."""
+        """Count a record.
+
+        :param size: encoded size in bytes.
+        """
         self.program_bytes[program] = self.program_bytes.get(program, 0) + size
 
     def is_worth_keeping(self, live: Container[str]) -> bool:
-        """Tell whether it is well filled with records of live programs."""
+        """Return whether records of live programs fill enough of the chunk."""
         live_bytes = sum(
             size
             for program, size in self.program_bytes.items()
@@ -32,7 +35,7 @@
 
 
 class ChunkWriter:
-    """Write records into chunks, in order.
+    """Write records to chunks in order.
 
     :param store: the platform's object API.
     :param codec: encodes the records.
@@ -47,7 +50,7 @@
         new_key: Callable[[], str],
         written: dict[str, ChunkSummary],
     ) -> None:
-        """Start without chunks."""
+        """Initialize the writer without chunks."""
         self._store = store
         self._codec = codec
         self._new_key = new_key
@@ -58,12 +61,12 @@
         self._summary = ChunkSummary()
 
     def add_existing(self, key: str) -> None:
-        """Take an existing chunk over as it is."""
+        """Include an existing chunk unchanged."""
         self._flush()
         self._keys.append(key)
 
     def add(self, record: records.Record) -> None:
-        """Add a record to the chunk being filled."""
+        """Add a record to the current chunk."""
         encoded = self._codec.encode(record)
         if self._size + len(encoded) > journals.MAX_SEGMENT_BYTES:
             self._flush()
@@ -72,7 +75,7 @@
         self._summary.add(getattr(record, 'program', ''), len(encoded))
 
     def close(self) -> list[str]:
-        """Write the last chunk and return all chunks' keys in order."""
+        """Write the last chunk and return the keys of all chunks in order."""
         self._flush()
         return self._keys
 
@@ -89,7 +92,7 @@
 
 
 def is_live(record: records.Record, table: programs.ProgramTable) -> bool:
-    """Tell whether a record still matters for the programs of a table."""
+    """Return whether a record is needed to restore the programs of a table."""
     if isinstance(record, records.FRAMES):
         return False
     return _is_relevant(record, table)
--- a/src/carobfork/coordination/claims.py
+++ b/src/carobfork/coordination/claims.py
@@ -1,4 +1,8 @@
-"""Claims: the calls of this host that wait for a slot or hold one."""
+"""Track the calls of this host that wait for a slot or hold one.
+
+A slot is permission to use one unit of a worker's concurrency; a worker is
+one backend server.
+"""
 
 from collections.abc import Iterable
 
@@ -12,7 +16,7 @@
 
 @attrs.define(eq=False)
 class Claim:
-    """A call that waits for a slot, or holds one on ``worker``."""
+    """A call that waits for a slot or holds one on ``worker``."""
 
     request: orders.SlotRequest
     pool: str
@@ -22,44 +26,44 @@
 
 
 class ClaimTable:
-    """All claims of this host.
+    """Holds all claims of this host.
 
-    :param timer: measures how long calls have waited.
+    :param timer: measures the waiting time of calls.
     """
 
     def __init__(self, timer: clock.Clock) -> None:
-        """Start empty."""
+        """Initialize an empty table."""
         self._timer = timer
         self._claims: dict[str, Claim] = {}
 
     def __len__(self) -> int:
-        """Return how many there are."""
+        """Return the number of claims."""
         return len(self._claims)
 
     def add(self, claim: Claim) -> None:
-        """Keep a claim until it is removed."""
+        """Add a claim."""
         self._claims[claim.request.identifier] = claim
 
     def remove(self, claim: Claim) -> None:
-        """Drop a claim."""
+        """Remove a claim, if it is present."""
         self._claims.pop(claim.request.identifier, None)
 
     def find(self, identifier: str) -> Claim | None:
-        """Return a claim, if it is still open."""
+        """Return the open claim of a request, if there is one."""
         return self._claims.get(identifier)
 
     def pools(self) -> set[str]:
-        """Return the pools at which calls are open."""
+        """Return the pools that have open claims."""
         return {claim.pool for claim in self._claims.values()}
 
     def in_pool(self, pool: str) -> list[Claim]:
-        """Return the claims at a pool."""
+        """Return the claims in a pool."""
         return [claim for claim in self._claims.values() if claim.pool == pool]
 
     def summary(
         self, own: identifiers.Incarnation, pool: str
     ) -> slot_messages.SlotsOpen:
-        """Return the sums of this host's claims at a pool."""
+        """Return digests of this host's claims in a pool."""
         claims = self.in_pool(pool)
         return slot_messages.SlotsOpen(
             sender=own,
@@ -71,7 +75,7 @@
     def listing(
         self, own: identifiers.Incarnation, pool: str
     ) -> slot_messages.SlotsListed:
-        """Return all of this host's claims at a pool."""
+        """Return all claims of this host in a pool."""
         claims = self.in_pool(pool)
         now_ms = self._timer.now_ms()
         return slot_messages.SlotsListed(
--- a/src/carobfork/coordination/compactions.py
+++ b/src/carobfork/coordination/compactions.py
@@ -1,10 +1,10 @@
-"""Compactions: keep a journal, and what a restart reads, bounded.
+"""Compact journals to bound their size and the data read at a restart.
 
-Committed segments are merged into chunks without the records of programs
-that are forgotten; a manifest in the journal then replaces the segments by
-the chunks. Chunks whose records mostly live on are kept as they are, so a
-long history is not copied again and again. Journals of adopted incarnations
-are merged the same way.
+Committed segments are merged into chunks that leave out the records of
+forgotten programs; a manifest in the journal then replaces the segments by
+the chunks. Chunks whose records are mostly live are kept unchanged, so that a
+long history is not copied by every compaction. Journals of adopted
+incarnations are merged the same way.
 """
 
 import itertools
@@ -35,7 +35,7 @@
 
 @attrs.define
 class _Progress:
-    """What compactions of one journal have written and deleted."""
+    """Holds what the compactions of one journal have written and deleted."""
 
     journal: journals.Journal
     manifest: records.Compacted = records.Compacted(0, ())
@@ -49,9 +49,9 @@
 
     :param store: the platform's object API.
     :param codec: encodes chunks.
-    :param home: whose journal it is, and which programs live.
-    :param adoptions: tells which journals to merge.
-    :param sealer: reads the merged journals.
+    :param home: provides the journal and the live programs.
+    :param adoptions: provides the incarnations whose journals are merged.
+    :param sealer: reads the journals that are merged.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         adoptions: takeovers.Takeovers,
         sealer: seals.Sealer,
     ) -> None:
-        """Start with nothing compacted."""
+        """Initialize the compactor with nothing compacted."""
         self.compactions = 0
         self._store = store
         self._codec = codec
@@ -74,16 +74,20 @@
         self._progress = _Progress(home.journal)
 
     def run(self) -> None:
-        """Compact whenever it is due, until the greenlet is killed."""
+        """Compact periodically until the greenlet is killed."""
         while True:
             gevent.sleep(clock.to_seconds(CHECK_INTERVAL_MS))
             try:
                 self.step()
             except exceptions.CarobforkError as error:
-                logger.warning('A compaction failed.', error=str(error))
+                logger.warning('Journal compaction failed.', error=str(error))
 
     def step(self, min_segments: int = COMPACT_AFTER_SEGMENTS) -> None:
-        """Compact if enough segments were committed since the last time."""
+        """Compact if enough segments were committed since the last run.
+
+        :param min_segments: number of new segments that is enough.
+        :raises PlatformError: the platform did not answer.
+        """
         journal = self._home.journal
         if journal is not self._progress.journal:
             self._progress = _Progress(journal)
@@ -139,7 +143,7 @@
         record: records.Record,
         own: identifiers.Incarnation,
     ) -> frozenset[identifiers.Incarnation]:
-        """Copy a record; return the incarnations merged in its place."""
+        """Copy a record and return the incarnations merged in its place."""
         if not isinstance(record, records.Adopted) or record.merged:
             self._copy_live(writer, record)
             return frozenset()
@@ -161,7 +165,7 @@
             writer.add(record)
 
     def _delete(self, progress: _Progress) -> None:
-        """Delete what the manifest replaced; seals stay."""
+        """Delete the objects that the manifest replaced, except for seals."""
         own = progress.journal.incarnation
         last_segment = progress.manifest.last_segment
         while progress.deleted_segment < last_segment:
--- a/src/carobfork/coordination/control.py
+++ b/src/carobfork/coordination/control.py
@@ -1,4 +1,4 @@
-"""Control: the host list and the bundle, followed through one watch."""
+"""Follow the host list and the bundle through one platform watch."""
 
 import json
 from collections.abc import Callable, Mapping
@@ -33,17 +33,17 @@
         """
 
     def claimed_version(self, envelope: bytes) -> int:
-        """Return the version of an envelope whose signature may be wrong.
+        """Return the version of an envelope without checking its signature.
 
-        It is 0 where the envelope is not even readable.
+        It is 0 if the envelope is unreadable.
         """
 
 
 class BundleHolder:
-    """Hold the bundle in force; its version never goes back."""
+    """Holds the bundle in force; its version never decreases."""
 
     def __init__(self) -> None:
-        """Start without a bundle."""
+        """Initialize without a bundle."""
         self._bundle: bundles.Bundle | None = None
         self._listeners: list[Callable[[bundles.Bundle], None]] = []
 
@@ -71,7 +71,7 @@
             listener(self._bundle)
 
     def offer(self, bundle: bundles.Bundle) -> bool:
-        """Put a bundle in force if it is newer, and say whether it is."""
+        """Put a bundle in force if it is newer and return whether it was."""
         if bundle.version <= self.version:
             return False
         self._bundle = bundle
@@ -82,16 +82,16 @@
 
 
 class BundleGate:
-    """Let signed bundles into force.
+    """Verify signed bundles and put them in force.
 
     :param reader: checks their signatures and content.
     :param holder: holds the bundle in force.
     """
 
     def __init__(self, reader: BundleReader, holder: BundleHolder) -> None:
-        """Start without an envelope."""
+        """Initialize without an envelope."""
         self.envelope = b''
-        """The signed bundle in force, as it travels."""
+        """The signed bundle in force in its wire form."""
         self._reader = reader
         self._holder = holder
 
@@ -112,10 +112,10 @@
 
 
 class HostDirectory:
-    """The entry hosts registered at the platform."""
+    """Holds the entry hosts registered at the platform."""
 
     def __init__(self) -> None:
-        """Start without hosts."""
+        """Initialize an empty directory."""
         self._hosts: dict[str, routing.EntryHost] = {}
 
     def registered(self) -> list[routing.EntryHost]:
@@ -144,7 +144,8 @@
         try:
             return _register_once(store, describe)
         except exceptions.PlatformError as error:
-            # A lost answer only skips a number; numbers need not be dense.
+            # A lost answer skips an incarnation number, which is harmless:
+            # numbers need not be consecutive.
             logger.warning('Registration will be retried.', error=str(error))
             gevent.sleep(clock.to_seconds(RETRY_DELAY_MS))
 
@@ -168,7 +169,7 @@
 
 
 def mark_leaving(store: ports.ObjectStore, host: routing.EntryHost) -> None:
-    """Say in a host's object that it is about to stop.
+    """Mark a host as about to stop in its host object.
 
     :raises PlatformError: the platform did not confirm it.
     """
@@ -182,12 +183,12 @@
 
 
 def encode_host(host: routing.EntryHost) -> bytes:
-    """Return a host's object at the platform."""
+    """Encode a host as its object at the platform."""
     return json.dumps(_converter.unstructure(host)).encode()
 
 
 def decode_host(body: bytes) -> routing.EntryHost:
-    """Return the host that an object describes."""
+    """Decode a host from its object at the platform."""
     return _converter.structure(json.loads(body), routing.EntryHost)
 
 
@@ -195,7 +196,7 @@
     """Follow the platform's control objects.
 
     :param store: the platform's object API.
-    :param directory: where hosts go.
+    :param directory: receives the hosts.
     :param handlers: called with the body of the object under each key.
     """
 
@@ -205,7 +206,7 @@
         directory: HostDirectory,
         handlers: Mapping[str, Callable[[bytes], None]],
     ) -> None:
-        """Start before the first revision."""
+        """Initialize the watch before the first revision."""
         self._store = store
         self._directory = directory
         self._handlers = handlers
@@ -217,11 +218,14 @@
             try:
                 self.poll()
             except exceptions.PlatformError as error:
-                logger.warning('The watch broke off.', error=str(error))
+                logger.warning(
+                    'The watch on control objects failed and is retried.',
+                    error=str(error),
+                )
                 gevent.sleep(clock.to_seconds(RETRY_DELAY_MS))
 
     def poll(self) -> None:
-        """Wait for one round of changes and apply it."""
+        """Wait for the next changes and apply them."""
         revision, changes = self._store.watch(PREFIX, self._revision)
         for change in changes:
             self._apply(change)
--- a/src/carobfork/coordination/detectors.py
+++ b/src/carobfork/coordination/detectors.py
@@ -1,4 +1,4 @@
-"""Detectors: which hosts fell silent, by this process's clock alone."""
+"""Detect failed hosts by the local clock alone."""
 
 from collections.abc import Set
 
@@ -10,32 +10,32 @@
 
 
 class FailureDetector:
-    """Declare a host dead after a silence.
+    """Declare a host dead when its heartbeats stop.
 
-    A process that stood still heard nobody; when it goes on, every silence
-    is counted anew, or a thawed host would declare all others dead.
+    A process that was suspended received no heartbeats. When it resumes, all
+    timeouts start again; otherwise it would declare every other host dead.
 
-    :param timer: measures silence.
+    :param timer: measures the time since the last heartbeat.
     """
 
     def __init__(self, timer: clock.Clock) -> None:
-        """Start without having heard anyone."""
+        """Initialize the detector without heartbeats."""
         self._timer = timer
         self._last_heartbeat_ms: dict[identifiers.Incarnation, float] = {}
         self._dead: set[identifiers.Incarnation] = set()
         self._ticked_ms = timer.now_ms()
 
     def record_heartbeat(self, incarnation: identifiers.Incarnation) -> None:
-        """Note a sign of life."""
+        """Record a heartbeat of a host."""
         self._last_heartbeat_ms[incarnation] = self._timer.now_ms()
         self._dead.discard(incarnation)
 
     def is_dead(self, incarnation: identifiers.Incarnation) -> bool:
-        """Tell whether a host is taken for dead."""
+        """Return whether a host is declared dead."""
         return incarnation in self._dead
 
     def start_round(self) -> bool:
-        """Begin a round of checks; tell whether this process stood still."""
+        """Start a round of checks and return whether this process stalled."""
         now_ms = self._timer.now_ms()
         stalled = now_ms - self._ticked_ms > MIN_STALL_MS
         self._ticked_ms = now_ms
@@ -44,9 +44,9 @@
         return stalled
 
     def check(self, incarnation: identifiers.Incarnation) -> bool:
-        """Tell whether a host is newly taken for dead.
+        """Return whether this check declares a host dead.
 
-        The first check of a host starts its silence.
+        The first check of a host starts its timeout.
         """
         now_ms = self._timer.now_ms()
         heard_ms = self._last_heartbeat_ms.setdefault(incarnation, now_ms)
@@ -59,7 +59,7 @@
         return True
 
     def retain_only(self, known: Set[identifiers.Incarnation]) -> None:
-        """Forget all hosts but the known ones."""
+        """Remove all hosts except the known ones."""
         self._dead &= known
         for incarnation in self._last_heartbeat_ms.keys() - known:
             self._last_heartbeat_ms.pop(incarnation)
--- a/src/carobfork/coordination/gatherers.py
+++ b/src/carobfork/coordination/gatherers.py
@@ -1,4 +1,4 @@
-"""Gatherers: collect the records that peers hold for a dead host."""
+"""Collect the records that peers hold for a dead host."""
 
 from carobfork.coordination import (
     holdings,
@@ -13,11 +13,11 @@
 
 
 class HeldRecordCollector:
-    """Ask every live host that may hold records of an incarnation.
+    """Collect the held records of an incarnation from all live hosts.
 
-    :param members: tells who may hold them.
-    :param link: how to reach the peers.
-    :param own_holdings: what this host itself holds.
+    :param members: provides the hosts that may hold records.
+    :param link: sends requests to peers.
+    :param own_holdings: the records that this host itself holds.
     """
 
     def __init__(
@@ -26,7 +26,7 @@
         link: ports.PeerLink,
         own_holdings: holdings.HeldRecordBuffer,
     ) -> None:
-        """Remember whom to ask."""
+        """Initialize the collector."""
         self._members = members
         self._link = link
         self._own_holdings = own_holdings
@@ -36,8 +36,9 @@
     ) -> list[holdings.HeldRecord]:
         """Return the held records that are not committed, oldest first.
 
-        :raises ConnectionFailedError: a live peer did not answer; its
-            records may be the only ones.
+        :param tail: the end of the journal, which tells what is committed.
+        :raises ConnectionFailedError: a live peer did not answer; it may
+            have the only copy of some records.
         """
         found: dict[int, holdings.HeldRecord] = {}
         for host in self._holders(incarnation):
@@ -46,7 +47,7 @@
         return [found[number] for number in sorted(found)]
 
     def forget(self, incarnation: identifiers.Incarnation) -> None:
-        """Have the records dropped; all are committed."""
+        """Make all holders drop the records, which are all committed."""
         message = holdings.OwnerSealed(incarnation)
         self._own_holdings.forget(message)
         for host in self._holders(incarnation):
--- a/src/carobfork/coordination/handovers.py
+++ b/src/carobfork/coordination/handovers.py
@@ -1,8 +1,9 @@
-"""Handovers: give all programs to a successor at a planned stop.
+"""Hand all programs over to a successor at a planned stop.
 
-The successor takes the whole journal over, which is one write, not one for
-each program. Calls in progress are finished here and their records are sent
-to the successor, which holds the turns of their programs until then.
+The successor takes the whole journal over, which costs one write instead of
+one for each program. Calls in flight finish on this host, and their records
+are sent to the successor. Until then the successor blocks further calls of
+their programs.
 """
 
 import random
@@ -39,9 +40,9 @@
 @messages.register
 @attrs.frozen
 class HandOver:
-    """The sender stops; the receiver is to take its programs over.
+    """Requests that the receiver takes over the programs of the sender.
 
-    ``busy`` lists the programs whose calls the sender still finishes.
+    ``busy`` lists the programs with calls that the sender still finishes.
     """
 
     sender: identifiers.Incarnation
@@ -51,7 +52,10 @@
 @messages.register
 @attrs.frozen
 class HandedRecords:
-    """Records of calls that the sender finishes, numbered from ``first``."""
+    """Carries records of calls finished by the sender.
+
+    ``first`` is the number of the first record.
+    """
 
     sender: identifiers.Incarnation
     first: int
@@ -61,21 +65,21 @@
 @messages.register
 @attrs.frozen
 class ProgramsIdle:
-    """The sender has finished the calls of these programs."""
+    """Reports that the sender has finished the calls of these programs."""
 
     sender: identifiers.Incarnation
     programs: tuple[str, ...]
 
 
 class Handover:
-    """Give this host's programs to a successor.
-
-    :param home: this host's programs.
-    :param members: who stays.
-    :param link: how to reach the successor.
-    :param codec: encodes the records sent to it.
-    :param requests: pauses new requests meanwhile.
-    :param under_way: returns the programs with calls in progress.
+    """Hand the programs of this host over to a successor.
+
+    :param home: the programs of this host.
+    :param members: provides the hosts that are not leaving.
+    :param link: sends messages to the successor.
+    :param codec: encodes the records sent to the successor.
+    :param requests: pauses new requests during the handover.
+    :param programs_in_flight: returns the programs with calls in flight.
     """
 
     def __init__(
@@ -87,7 +91,7 @@
         requests: local_requests.LocalRequests,
         programs_in_flight: Callable[[], set[str]],
     ) -> None:
-        """Prepare the handover; ``run`` begins it."""
+        """Initialize the handover; ``run`` starts it."""
         self._home = home
         self._members = members
         self._link = link
@@ -99,10 +103,10 @@
         self._sent = 0
 
     def run(self) -> None:
-        """Hand over and finish what is in progress, within bounds.
+        """Hand the programs over and finish calls in flight, within timeouts.
 
-        Where no successor confirms it the programs stay here until the host
-        ends, and other hosts then take them over as from a dead one.
+        If no successor confirms, the programs stay on this host until it
+        stops; other hosts then take them over as after a failure.
         """
         self._requests.pause()
         journal = self._home.journal
@@ -119,21 +123,23 @@
         self._finish(successor)
 
     def _record_locally(self, journal: journals.Journal) -> None:
-        """Record here what was to be sent to a successor."""
+        """Append the queued records to the local journal."""
         if not journal.sealed:
             journal.end_diversion(self._queue)
             return
-        # A successor has the programs although it did not confirm it.
+        # A successor took the programs over but its confirmation was lost.
         for entry in self._queue:
             entry.fail(_unconfirmed_error('the journal is sealed'))
 
     def _ask_any(self) -> routing.EntryHost:
-        """Ask hosts that stay until one has taken the programs.
+        """Ask hosts that are not leaving until one has taken the programs.
 
-        :raises CarobforkError: none confirmed it.
+        :raises CarobforkError: no host confirmed.
         """
         self._flush()
-        failure = exceptions.NotRunError('no host stays', step='hand over')
+        failure = exceptions.NotRunError(
+            'every other host is leaving or dead', step='hand over'
+        )
         for successor in self._candidates():
             try:
                 return self._ask(successor)
@@ -142,9 +148,9 @@
         raise failure
 
     def _flush(self) -> None:
-        """Wait until the journal holds everything recorded so far.
+        """Wait until all entries so far are committed.
 
-        :raises PlatformError: the platform does not answer.
+        :raises PlatformError: they are not committed in time.
         """
         journal = self._home.journal
         for _ in range(FLUSH_TIMEOUT_MS // _POLL_MS):
@@ -152,7 +158,8 @@
                 return
             gevent.sleep(clock.to_seconds(_POLL_MS))
         raise exceptions.PlatformError(
-            'the last records are not committed', step='hand over'
+            f'records were not committed within {FLUSH_TIMEOUT_MS} ms',
+            step='hand over',
         )
 
     def _candidates(self) -> list[routing.EntryHost]:
@@ -173,7 +180,7 @@
         return successor
 
     def _finish(self, successor: routing.EntryHost) -> None:
-        """Send records on and report programs until none is busy."""
+        """Forward records and report idle programs until none is busy."""
         sender = gevent.spawn(self._send_all, successor)
         waiting = self._busy()
         for _ in range(FINISH_TIMEOUT_MS // _POLL_MS):
--- a/src/carobfork/coordination/holdings.py
+++ b/src/carobfork/coordination/holdings.py
@@ -1,11 +1,11 @@
-"""Holdings: records that hosts hold for each other in a platform outage.
-
-They are a bounded buffer, not a store. The owner commits its records itself
-once the platform answers again; if it is dead by then, the host that takes
-its programs over collects them from the peers and commits them before the
-seal. A host that was asked for them refuses to hold more for that owner
-until the owner has committed a later segment, so nothing is acknowledged
-that the collector would miss.
+"""Buffer the records of peers during a platform outage.
+
+The buffer is bounded and does not replace the journal. The owner commits its
+records itself once the platform answers again. If it is dead by then, the
+host that takes its programs over collects the records from the peers and
+commits them before the seal. After a collection, a peer refuses to hold more
+records for that owner until the owner has committed a later segment.
+Otherwise a record could be acknowledged that the collector has missed.
 """
 
 import attrs
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class HeldRecord:
-    """An encoded record and its number in its owner's journal."""
+    """An encoded record and its number in the journal of its owner."""
 
     number: int
     encoded: bytes
@@ -31,7 +31,7 @@
 @messages.register
 @attrs.frozen
 class HoldRecords:
-    """Hold these records for their owner."""
+    """Requests that a peer holds records for their owner."""
 
     owner: identifiers.Incarnation
     entries: tuple[HeldRecord, ...]
@@ -40,7 +40,7 @@
 @messages.register
 @attrs.frozen
 class RecordsHeld:
-    """The records are held."""
+    """Confirms that records are held, up to ``last_record``."""
 
     last_record: int
 
@@ -48,7 +48,7 @@
 @messages.register
 @attrs.frozen
 class RecordsCommitted:
-    """The owner committed its records up to a number in a segment."""
+    """Reports up to which record and segment the owner has committed."""
 
     owner: identifiers.Incarnation
     last_record: int
@@ -58,10 +58,10 @@
 @messages.register
 @attrs.frozen
 class CollectRecords:
-    """Return the records held for an owner that is about to be sealed.
+    """Requests the records held for an owner that is about to be sealed.
 
-    :param after_record: return only those with a higher number.
-    :param last_segment: the owner's last segment as the asker knows it.
+    :param after_record: return only records with a higher number.
+    :param last_segment: the last segment of the owner known to the sender.
     """
 
     owner: identifiers.Incarnation
@@ -72,7 +72,7 @@
 @messages.register
 @attrs.frozen
 class RecordsCollected:
-    """A page of held records, empty after the last one."""
+    """Carries a page of held records, empty after the last one."""
 
     entries: tuple[HeldRecord, ...]
 
@@ -80,19 +80,19 @@
 @messages.register
 @attrs.frozen
 class OwnerSealed:
-    """The owner's records are all committed and its journal is sealed."""
+    """Reports that an owner's journal is sealed with all records committed."""
 
     owner: identifiers.Incarnation
 
 
 class HeldRecordBuffer:
-    """Hold other hosts' records.
+    """Holds records of other hosts within a size limit.
 
-    :param link: where peers ask.
+    :param link: receives the messages of peers.
     """
 
     def __init__(self, link: ports.PeerLink) -> None:
-        """Start without records."""
+        """Initialize an empty buffer and register its handlers."""
         self.held_bytes = 0
         self._held: dict[identifiers.Incarnation, dict[int, bytes]] = {}
         self._fences: dict[identifiers.Incarnation, int] = {}
@@ -102,23 +102,24 @@
         link.on(OwnerSealed, self.forget)
 
     def counts(self) -> dict[str, int]:
-        """Return how many records are held for each owner."""
+        """Return the number of held records of each owner."""
         return {str(owner): len(held) for owner, held in self._held.items()}
 
     def hold(self, message: HoldRecords) -> RecordsHeld:
-        """Hold records.
+        """Add records to the buffer.
 
         :raises SealedError: the owner is being taken over.
-        :raises OverloadedError: too much is held already.
+        :raises OverloadedError: the buffer is full.
         """
         if message.owner in self._fences:
             raise exceptions.SealedError(
-                'the owner is being taken over', step=_STEP
+                f'the owner {message.owner} is being taken over', step=_STEP
             )
         size = sum(len(entry.encoded) for entry in message.entries)
         if self.held_bytes + size > MAX_HELD_BYTES:
             raise exceptions.OverloadedError(
-                'too many records are held', step=_STEP
+                f'the buffer of held records is full: {self.held_bytes} bytes',
+                step=_STEP,
             )
         held = self._held.setdefault(message.owner, {})
         for entry in message.entries:
@@ -128,7 +129,7 @@
         return RecordsHeld(max(held, default=0))
 
     def release(self, message: RecordsCommitted) -> None:
-        """Drop what the owner committed."""
+        """Drop the records that their owner has committed."""
         fence = self._fences.get(message.owner)
         if fence is not None and message.last_segment > fence:
             self._fences.pop(message.owner)
@@ -140,7 +141,7 @@
             self._held.pop(message.owner, None)
 
     def collect(self, message: CollectRecords) -> RecordsCollected:
-        """Return a page of an owner's records and hold no more for it."""
+        """Return a page of an owner's records and refuse to hold more."""
         self._fences[message.owner] = message.last_segment
         while len(self._fences) > MAX_FENCES:
             self._fences.pop(next(iter(self._fences)))
@@ -154,6 +155,6 @@
         return RecordsCollected(tuple(page))
 
     def forget(self, message: OwnerSealed) -> None:
-        """Drop a sealed owner's records."""
+        """Drop the records of a sealed owner."""
         held = self._held.pop(message.owner, {})
         self.held_bytes -= sum(len(encoded) for encoded in held.values())
--- a/src/carobfork/coordination/journals.py
+++ b/src/carobfork/coordination/journals.py
@@ -1,8 +1,9 @@
-"""Journals: records committed in groups, fenced by their own numbering.
+"""Append records to a journal in group commits.
 
 An incarnation appends segments ``journal/<incarnation>/<n>`` by conditional
-create. Whoever takes its programs over creates the next segment as a seal;
-from then on the former owner's appends fail. No clock guards the records.
+create. The host that takes its programs over creates the next segment as a
+seal, after which all appends of the former owner fail. This fencing relies on
+the segment numbers and not on clocks.
 """
 
 import itertools
@@ -28,7 +29,7 @@
 
 @attrs.define(eq=False)
 class Entry:
-    """A record on its way into the journal.
+    """A record that is being appended to the journal.
 
     ``committed`` is set once the platform holds it, ``kept`` once the
     platform or two peers do. An ``offered`` entry was sent to peers.
@@ -43,30 +44,30 @@
     applied: bool = False
 
     def mark_durable(self, apply: Callable[[records.Record], None]) -> None:
-        """Apply the record once and tell those who wait for it."""
+        """Mark the record as durable, apply it once and wake waiters."""
         if not self.applied:
             self.applied = True
             apply(self.record)
             self.durable.set()
 
     def mark_committed(self, apply: Callable[[records.Record], None]) -> None:
-        """Note that a journal holds the record."""
+        """Mark the record as committed to a journal and wake waiters."""
         self.mark_durable(apply)
         self.committed.set()
 
     def fail(self, error: Exception) -> None:
-        """Tell those who wait that the record was not committed."""
+        """Raise an error in all waiters: the record was not committed."""
         self.committed.set_exception(error)
         if not self.applied:
             self.durable.set_exception(error)
 
 
 class Journal:
-    """Append records of one incarnation in group commits.
+    """Append the records of one incarnation in group commits.
 
     :param store: the platform's object API.
-    :param codec: turns records into bytes.
-    :param incarnation: the owner.
+    :param codec: encodes records.
+    :param incarnation: the owner of the journal.
     :param apply: called with each record once it is kept, in order.
     """
 
@@ -77,7 +78,7 @@
         incarnation: identifiers.Incarnation,
         apply: Callable[[records.Record], None],
     ) -> None:
-        """Start with an empty journal; ``run`` commits to it."""
+        """Initialize an empty journal; ``run`` commits to it."""
         self.incarnation = incarnation
         self.sealed = False
         self.records_committed = 0
@@ -92,24 +93,25 @@
         self._pending_bytes = 0
         self._wakeup = event.Event()
         self.diversion: Callable[[Entry], None] | None = None
-        """Takes further entries instead of this journal, if it is set."""
+        """Receives new entries instead of this journal, if set."""
 
     @property
     def stalled(self) -> bool:
-        """Whether the platform did not answer the last attempt."""
+        """Whether the last commit attempt failed without an answer."""
         return self.segments.stalled
 
     @property
     def pending_bytes(self) -> int:
-        """Encoded size of the records that wait for a commit."""
+        """Encoded size in bytes of the records that wait for a commit."""
         return self._pending_bytes
 
     def append(self, record: records.Record, timeout_ms: int | None) -> None:
         """Append a record and wait until it is committed.
 
-        :param timeout_ms: how long to wait; nothing waits without limit.
+        :param timeout_ms: how long to wait; ``None`` waits without limit.
         :raises SealedError: another host owns these programs now.
-        :raises PlatformError: not committed in time; it still may be.
+        :raises PlatformError: the record was not committed in time; it may
+            still be committed later.
         """
         wait_for(self.enqueue(record).committed, timeout_ms)
 
@@ -118,7 +120,7 @@
     ) -> None:
         """Append a record and wait until the platform or two peers hold it.
 
-        Parameters and errors are those of ``append``.
+        Parameters and errors are the same as for ``append``.
         """
         wait_for(self.enqueue(record).durable, timeout_ms)
 
@@ -126,7 +128,7 @@
         """Append a record without waiting for its commit.
 
         :raises SealedError: another host owns these programs now.
-        :raises PlatformError: too many records wait already.
+        :raises PlatformError: too many bytes already wait for a commit.
         """
         if self.diversion is not None:
             encoded = self._codec.encode(record)
@@ -137,7 +139,9 @@
             raise appenders.sealed_error(self.incarnation)
         if self._pending_bytes > MAX_PENDING_BYTES:
             raise exceptions.PlatformError(
-                'too many records wait for the platform', step=_STEP, peer=_PEER
+                f'{self._pending_bytes} bytes of records wait for a commit',
+                step=_STEP,
+                peer=_PEER,
             )
         encoded = self._codec.encode(record)
         entry = Entry(next(self._numbers), record, encoded)
@@ -147,14 +151,14 @@
         return entry
 
     def end_diversion(self, entries: list[Entry]) -> None:
-        """Commit from now on, and first what the diversion took."""
+        """Resume local commits, starting with the diverted entries."""
         self.diversion = None
         self._pending.extend(entries)
         self._pending_bytes += sum(len(entry.encoded) for entry in entries)
         self._wakeup.set()
 
     def withdraw(self, entry: Entry) -> bool:
-        """Take an entry back and say whether nothing holds it."""
+        """Remove a pending entry and return whether no host holds it."""
         if entry.sent_to_peers or entry not in self._pending:
             return False
         self._pending.remove(entry)
@@ -166,14 +170,14 @@
         return [*self._in_flight, *self._pending]
 
     def mark_durable(self, entries: list[Entry]) -> None:
-        """Apply entries that peers hold and tell those who wait."""
+        """Apply entries that peers hold and wake their waiters."""
         if self.sealed:
             return
         for entry in entries:
             entry.mark_durable(self.apply)
 
     def seal(self) -> None:
-        """Refuse all further records; another host owns the programs."""
+        """Reject all further records: another host owns the programs."""
         if self.sealed:
             return
         logger.warning('The journal is sealed.', peer=str(self.incarnation))
@@ -194,7 +198,7 @@
             gevent.sleep(clock.to_seconds(COMMIT_INTERVAL_MS))
 
     def flush(self) -> None:
-        """Commit everything pending now, a segment's size at most."""
+        """Commit the pending records, up to the size of one segment."""
         self._in_flight = self._take_batch()
         if not self._in_flight:
             return
@@ -239,15 +243,19 @@
 
 
 def wait_for(settled: event.AsyncResult, timeout_ms: int | None) -> None:
-    """Wait until an entry is settled.
+    """Wait until an entry is committed or durable.
 
+    :param settled: the ``committed`` or ``durable`` result of the entry.
+    :param timeout_ms: how long to wait; ``None`` waits without limit.
     :raises SealedError: another host owns these programs now.
-    :raises PlatformError: not settled in time; it still may be.
+    :raises PlatformError: it was not settled in time; it may be later.
     """
     seconds = None if timeout_ms is None else clock.to_seconds(timeout_ms)
     try:
         settled.get(timeout=seconds)
     except gevent.Timeout:
         raise exceptions.PlatformError(
-            'the record was not committed in time', step=_STEP, peer=_PEER
+            f'the record was not committed within {timeout_ms} ms',
+            step=_STEP,
+            peer=_PEER,
         ) from None
--- a/src/carobfork/coordination/keepers.py
+++ b/src/carobfork/coordination/keepers.py
@@ -1,4 +1,4 @@
-"""Keepers: keep this host's records at two peers while the platform is down."""
+"""Replicate uncommitted records to two peers during a platform outage."""
 
 from collections.abc import Callable
 
@@ -23,11 +23,11 @@
 
 
 class RecordReplicator:
-    """Offer uncommitted records to peers for as long as commits stall.
+    """Replicate uncommitted records to peers while commits stall.
 
-    :param members: who may hold them.
-    :param link: how to reach the peers.
-    :param journal: returns the journal in use.
+    :param members: provides the hosts that may hold records.
+    :param link: sends requests to peers.
+    :param journal: returns the current journal.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         link: ports.PeerLink,
         journal: Callable[[], journals.Journal],
     ) -> None:
-        """Start with nothing held."""
+        """Initialize the replicator without replicas."""
         self._members = members
         self._link = link
         self._journal = journal
@@ -44,13 +44,13 @@
         self._held: dict[routing.EntryHost, int] = {}
 
     def run(self) -> None:
-        """Watch the journal until the greenlet is killed."""
+        """Check the journal periodically until the greenlet is killed."""
         while True:
             self.step()
             gevent.sleep(clock.to_seconds(CHECK_INTERVAL_MS))
 
     def step(self) -> None:
-        """Offer records if commits stall, have them dropped if they do not."""
+        """Replicate records while commits stall, else release the replicas."""
         journal = self._journal()
         if journal is not self._current_journal:
             self._current_journal = journal
@@ -98,7 +98,9 @@
             try:
                 self._link.request(host.peer_address, message, HOLD_TIMEOUT_MS)
             except exceptions.CarobforkError as error:
-                logger.warning('A peer holds no records.', error=str(error))
+                logger.warning(
+                    'A peer did not accept records.', error=str(error)
+                )
                 return
             self._held[host] = page[-1].number
 
--- a/src/carobfork/coordination/mailboxes.py
+++ b/src/carobfork/coordination/mailboxes.py
@@ -1,4 +1,4 @@
-"""Mailboxes: messages to any live entry host, this one included."""
+"""Send one-way messages to any live entry host, including this one."""
 
 from collections.abc import Callable
 
@@ -7,10 +7,10 @@
 
 
 class Mailbox:
-    """Send one-way messages; those to this host are handled at once.
+    """Send one-way messages; those to this host are handled immediately.
 
-    :param find_own: returns this host's incarnation; a host that was taken
-        over goes on under a new one.
+    :param find_own: returns the incarnation of this host, which changes after
+        another host has taken this one over.
     :param hosts: the live hosts.
     :param link: carries messages to other hosts.
     """
@@ -21,7 +21,7 @@
         hosts: routing.HostList,
         link: ports.PeerLink,
     ) -> None:
-        """Start without handlers."""
+        """Initialize the mailbox without handlers."""
         self._find_own = find_own
         self._hosts = hosts
         self._link = link
@@ -39,7 +39,7 @@
         self._link.on(kind, handler)
 
     def send(self, to: identifiers.Incarnation, message: object) -> None:
-        """Send a message; it gets lost where the host is not known."""
+        """Send a message, or drop it if the host is unknown."""
         if to == self.own:
             self._handlers[type(message)](message)
             return
@@ -50,11 +50,11 @@
             self._link.send(host.peer_address, message)
 
     def refresh(self) -> None:
-        """Look the live hosts up anew."""
+        """Look up the live hosts again."""
         self._known = {host.incarnation: host for host in self._hosts.live()}
 
     def is_replaced(self, incarnation: identifiers.Incarnation) -> bool:
-        """Tell whether a host runs under a newer incarnation."""
+        """Return whether a host runs under a newer incarnation."""
         return any(
             known.host == incarnation.host and known > incarnation
             for known in self._known
--- a/src/carobfork/coordination/membership.py
+++ b/src/carobfork/coordination/membership.py
@@ -1,9 +1,9 @@
-"""Membership: which entry hosts are alive.
+"""Track which entry hosts are alive.
 
-Hosts form a ring ordered by a hash of their names. Each sends heartbeats to
-its nearest successors only, so the traffic of a host does not grow with the
-fleet. A host that is not monitored from here counts as alive for as long as
-the platform lists it; its successors find out and say so through the
+Hosts form a ring ordered by a hash of their names. Each sends heartbeats only
+to its nearest successors, so the traffic of a host does not grow with the
+fleet. A host that this one does not monitor counts as alive while the platform
+lists it; its successors detect the failure and publish it through the
 platform's host objects.
 """
 
@@ -32,13 +32,13 @@
 
 
 class Membership:
-    """Send heartbeats, listen to others' and tell who is alive.
+    """Exchange heartbeats with other hosts and track their liveness.
 
     :param own: this host.
     :param directory: the registered hosts.
-    :param link: carries the heartbeats.
-    :param holder: its bundle's version goes with them.
-    :param timer: measures silence.
+    :param link: sends and receives heartbeats.
+    :param holder: provides the bundle version that heartbeats carry.
+    :param timer: measures the time since the last heartbeat.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         holder: control.BundleHolder,
         timer: clock.Clock,
     ) -> None:
-        """Start believing every registered host alive."""
+        """Initialize with all registered hosts alive."""
         self.own = own
         self.leaving = False
         self._directory = directory
@@ -63,7 +63,7 @@
         link.on(messages.Leaving, self._handle_leaving)
 
     def live(self) -> list[routing.EntryHost]:
-        """Return the hosts believed to be alive, this one included."""
+        """Return the hosts that count as alive, including this one."""
         return [
             host
             for host in self._directory.registered()
@@ -71,7 +71,7 @@
         ]
 
     def knows(self, name: str) -> bool:
-        """Tell whether a host is registered, live or not."""
+        """Return whether a host is registered, live or not."""
         return self._directory.find(name) is not None
 
     def registered(self) -> list[routing.EntryHost]:
@@ -79,7 +79,7 @@
         return self._directory.registered()
 
     def is_leaving(self, host: routing.EntryHost) -> bool:
-        """Tell whether a host is about to stop."""
+        """Return whether a host is about to stop."""
         if host.incarnation == self.own.incarnation:
             return self.leaving
         return host.leaving or host.incarnation in self._leaving
@@ -89,11 +89,11 @@
         return [host for host in self.live() if not self.is_leaving(host)]
 
     def on_death(self, listener: DeathListener) -> None:
-        """Call ``listener`` when a monitored host falls silent."""
+        """Call ``listener`` when a monitored host is declared dead."""
         self._listeners.append(listener)
 
     def on_version(self, listener: VersionListener) -> None:
-        """Call ``listener`` with each bundle version heard, and where."""
+        """Call ``listener`` with each bundle version and its host's address."""
         self._version_listeners.append(listener)
 
     def successors(self, name: str) -> list[routing.EntryHost]:
@@ -101,7 +101,7 @@
         return rings.successors(self._directory.registered(), name)
 
     def is_first_successor(self, name: str) -> bool:
-        """Tell whether this host is the nearest live one after another."""
+        """Return whether this host is the nearest live successor of a host."""
         alive = (
             host
             for host in self.successors(name)
@@ -119,7 +119,7 @@
             gevent.sleep(clock.to_seconds(HEARTBEAT_INTERVAL_MS))
 
     def beat(self) -> None:
-        """Send one round of heartbeats and check what was heard."""
+        """Send one round of heartbeats and check the monitored hosts."""
         heartbeat = messages.Heartbeat(
             self.own.incarnation, self._holder.version, self.leaving
         )
@@ -128,14 +128,17 @@
         for successor in rings.successors(registered, own_name):
             self._link.send(successor.peer_address, heartbeat)
         if self._detector.start_round():
-            logger.warning('This process stood still for a while.')
+            logger.warning('This process was suspended for a while.')
         for monitored in rings.predecessors(registered, own_name):
             if self._detector.check(monitored.incarnation):
                 self._report(monitored)
         self._forget_old_incarnations()
 
     def _report(self, host: routing.EntryHost) -> None:
-        logger.warning('A host fell silent.', peer=str(host.incarnation))
+        logger.warning(
+            'A host sent no heartbeats and is declared dead.',
+            peer=str(host.incarnation),
+        )
         for listener in self._listeners:
             listener(host)
 
--- a/src/carobfork/coordination/messages.py
+++ b/src/carobfork/coordination/messages.py
@@ -1,7 +1,7 @@
-"""Messages that entry hosts send each other.
+"""Define the messages that entry hosts exchange.
 
-Message classes fill a registry by decorator; a class's name is its tag on
-the wire, so renaming one breaks hosts of another version.
+Message classes are registered by a decorator. The class name is the tag on
+the wire, so renaming a class breaks hosts of other versions.
 """
 
 from typing import TypeVar
@@ -24,7 +24,7 @@
 @register
 @attrs.frozen
 class Heartbeat:
-    """A host is alive."""
+    """Reports that a host is alive."""
 
     sender: identifiers.Incarnation
     bundle_version: int
@@ -34,7 +34,7 @@
 @register
 @attrs.frozen
 class Leaving:
-    """A host is about to stop; address answers no longer name it."""
+    """Reports that a host is about to stop; address answers leave it out."""
 
     sender: identifiers.Incarnation
 
@@ -42,13 +42,13 @@
 @register
 @attrs.frozen
 class Noted:
-    """A message was understood and acted upon."""
+    """Confirms that a message was processed."""
 
 
 @register
 @attrs.frozen
 class Failure:
-    """A request could not be answered."""
+    """Reports that a request could not be answered."""
 
     code: str
     message: str
--- a/src/carobfork/coordination/ownerships.py
+++ b/src/carobfork/coordination/ownerships.py
@@ -1,8 +1,8 @@
-"""Ownerships: after a standstill, check that the programs are still here.
+"""Confirm after a suspension that this host still owns its programs.
 
-A process that was frozen may have been taken over meanwhile. It notices the
-gap in its monotonic time, and sends nothing before a further record was
-kept, which fails where the journal is sealed.
+While a process is suspended, another host may take its programs over. The
+process detects the gap in monotonic time and sends nothing until another
+record is durable; appending it fails if the journal is sealed.
 """
 
 import gevent
@@ -17,35 +17,36 @@
 
 
 class Ownership:
-    """Notice standstills of this process and confirm the ownership.
+    """Detect suspensions of this process and confirm the ownership.
 
     :param timer: monotonic time.
     """
 
     def __init__(self, timer: clock.Clock) -> None:
-        """Start confirmed; a new journal is empty."""
+        """Initialize as confirmed, since a new journal is empty."""
         self.standstills = 0
         self._confirmed = 0
         self._timer = timer
         self._last_check_ms = timer.now_ms()
 
     def run(self) -> None:
-        """Look at the clock until the greenlet is killed."""
+        """Check the clock periodically until the greenlet is killed."""
         while True:
             self.check_clock()
             gevent.sleep(clock.to_seconds(CHECK_INTERVAL_MS))
 
     def check_clock(self) -> None:
-        """Compare the clock with the last look at it."""
+        """Compare the clock with its value at the last check."""
         now_ms = self._timer.now_ms()
         if now_ms - self._last_check_ms > MIN_STANDSTILL_MS:
             self.standstills += 1
         self._last_check_ms = now_ms
 
     def confirm(self, journal: journals.Journal) -> None:
-        """Make sure that the journal is open if there was a standstill.
+        """Confirm that the journal is open if there was a suspension.
 
-        :raises NotRunError: it is sealed, or this cannot be told.
+        :raises SealedError: the journal is sealed.
+        :raises NotRunError: the platform did not confirm in time.
         """
         self.check_clock()
         while self._confirmed != self.standstills:
--- a/src/carobfork/coordination/registrations.py
+++ b/src/carobfork/coordination/registrations.py
@@ -1,4 +1,4 @@
-"""Registrations: this host's own object at the platform."""
+"""Register this host at the platform and publish its takeovers."""
 
 from collections.abc import Callable
 
@@ -14,10 +14,10 @@
 
 
 class Registration:
-    """Register incarnations of this host and publish what they took over.
+    """Register incarnations of this host and publish their takeovers.
 
     :param store: the platform's object API.
-    :param directory: learns of this host at once.
+    :param directory: gets each new incarnation immediately.
     :param describe: returns the host for an incarnation's number.
     """
 
@@ -27,13 +27,13 @@
         directory: control.HostDirectory,
         describe: Callable[[int], routing.EntryHost],
     ) -> None:
-        """Start unregistered."""
+        """Initialize without a registered incarnation."""
         self._store = store
         self._directory = directory
         self._describe = describe
 
     def register(self) -> routing.EntryHost:
-        """Register a new incarnation, however long the platform is down."""
+        """Register a new incarnation, retrying while the platform is down."""
         self.own = control.register_host(self._store, self._describe)
         self._directory.add(self.own)
         return self.own
@@ -43,15 +43,16 @@
         adopted: frozenset[identifiers.Incarnation],
         settled: frozenset[identifiers.Incarnation],
     ) -> None:
-        """Say which incarnations' programs are here.
+        """Publish the incarnations whose programs this host has adopted.
 
-        :param settled: earlier incarnations that need no takeover any more.
+        :param adopted: the adopted incarnations.
+        :param settled: earlier incarnations that need no takeover anymore.
         :raises PlatformError: the platform did not confirm it.
         :raises SealedError: a newer incarnation of this host is registered.
         """
         while not self._publish_once(adopted, settled):
-            # Another part of this host updated the object, or the answer to
-            # an earlier attempt was lost: start again from what is there.
+            # Another component of this host updated the object, or the answer
+            # to an earlier attempt was lost: retry from the stored object.
             gevent.sleep(clock.to_seconds(control.RETRY_DELAY_MS))
 
     def _publish_once(
--- a/src/carobfork/coordination/retentions.py
+++ b/src/carobfork/coordination/retentions.py
@@ -1,4 +1,4 @@
-"""Retentions: forget programs some time after they ended."""
+"""Remove programs once their retention time after the end has passed."""
 
 import gevent
 
@@ -10,30 +10,30 @@
 
 
 class Retention:
-    """Forget ended programs.
+    """Remove ended programs after ``RETENTION_MS``.
 
-    Spans are measured by this process; a takeover starts them anew.
+    Each process measures the time itself, so a takeover restarts it.
 
     :param table: the programs.
-    :param timer: measures how long ago each ended.
+    :param timer: measures the time since each program ended.
     """
 
     def __init__(
         self, table: programs.ProgramTable, timer: clock.Clock
     ) -> None:
-        """Start without ended programs."""
+        """Initialize without ended programs."""
         self._table = table
         self._timer = timer
         self._ended_ms: dict[str, float] = {}
 
     def run(self) -> None:
-        """Forget programs until the greenlet is killed."""
+        """Remove programs periodically until the greenlet is killed."""
         while True:
             gevent.sleep(clock.to_seconds(CHECK_INTERVAL_MS))
             self.step()
 
     def step(self) -> None:
-        """Forget the programs that ended long enough ago."""
+        """Remove the programs whose retention time has passed."""
         now_ms = self._timer.now_ms()
         ended = self._ended()
         self._ended_ms = {
--- a/src/carobfork/coordination/rollouts.py
+++ b/src/carobfork/coordination/rollouts.py
@@ -1,8 +1,8 @@
-"""Rollouts: put a signed bundle in force by one conditional update.
+"""Put a signed bundle in force by one conditional update.
 
-A bundle is accepted once the head object was replaced on condition of the
-version that was read, by one of a higher bundle version. An answer that was
-lost is settled by reading back.
+The update replaces the head object only if it still has the version that was
+read, and only with a higher bundle version. After a lost answer, reading the
+object back shows whether the update took effect.
 """
 
 import gevent
@@ -21,7 +21,7 @@
 
 
 class Rollout:
-    """Roll one signed bundle.
+    """Roll out one signed bundle.
 
     :param store: the platform's object API.
     :param reader: parses envelopes and checks their signatures.
@@ -34,7 +34,7 @@
         reader: control.BundleReader,
         envelope: bytes,
     ) -> None:
-        """Check the bundle.
+        """Read and check the bundle.
 
         :raises SettingsError: the signature or the content is wrong.
         """
@@ -47,9 +47,9 @@
     def run(self) -> bundles.Bundle:
         """Put the bundle in force and return it.
 
-        :raises ConflictError: another bundle won; the error names it.
-        :raises PlatformError: it does not answer, and nothing was sent.
-        :raises UnknownOutcomeError: the platform did not tell the outcome.
+        :raises ConflictError: another bundle won; the error names its version.
+        :raises PlatformError: the platform did not answer; nothing was sent.
+        :raises UnknownOutcomeError: the outcome of the update is unknown.
         """
         for _ in range(MAX_ATTEMPTS):
             try:
@@ -58,7 +58,7 @@
                 if conflict.step == _STEP:
                     raise
             except exceptions.PlatformError as error:
-                logger.warning('The roll is retried.', error=str(error))
+                logger.warning('The rollout is retried.', error=str(error))
             gevent.sleep(clock.to_seconds(RETRY_DELAY_MS))
         raise self._exhausted()
 
@@ -89,10 +89,10 @@
         return self.offered
 
     def _require_newer(self, envelope: bytes) -> None:
-        """Check that the offered bundle replaces what the head holds.
+        """Check that the offered bundle is newer than the head object.
 
-        A head that the operators did not sign is replaced by a version above
-        the one that it claims; no host has it in force.
+        A head not signed by the operators is replaced by a version above the
+        one that it claims; no host has it in force.
         """
         version = self._reader.claimed_version(envelope)
         if version >= self.offered.version:
--- a/src/carobfork/coordination/seals.py
+++ b/src/carobfork/coordination/seals.py
@@ -1,7 +1,7 @@
-"""Seals: end a dead incarnation's journal, and read what belongs to it.
+"""Seal the journal of a dead incarnation and read its records.
 
-The conditional create of the next segment settles which of several hosts
-takes the programs over, and fences the former owner.
+The conditional create of the next segment decides which of several hosts
+takes the programs over, and it fences the former owner.
 """
 
 from collections.abc import Iterator
@@ -18,7 +18,7 @@
 
 
 class Holders(Protocol):
-    """The peers that hold records for an incarnation."""
+    """Gives access to the peers that hold records for an incarnation."""
 
     def gather(
         self, incarnation: identifiers.Incarnation, tail: segments.Tail
@@ -26,7 +26,7 @@
         """Return the held records that are not committed, oldest first."""
 
     def forget(self, incarnation: identifiers.Incarnation) -> None:
-        """Have the records dropped; all are committed."""
+        """Make all holders drop the records, which are all committed."""
 
 
 class Sealer:
@@ -43,7 +43,7 @@
         codec: ports.RecordCodec,
         holders: Holders,
     ) -> None:
-        """Remember where to write."""
+        """Initialize the sealer."""
         self.reader = segments.JournalReader(store, codec)
         self._store = store
         self._codec = codec
@@ -56,8 +56,8 @@
     ) -> str:
         """Seal a journal and return the successor that its seal names.
 
-        :raises PlatformError: the platform or a peer did not answer; ask
-            again, an earlier attempt may have taken effect.
+        :raises PlatformError: the platform or a peer did not answer. Retry:
+            an earlier attempt may have taken effect.
         """
         while True:
             tail = self.reader.tail(incarnation)
@@ -85,14 +85,16 @@
                 self._create(incarnation, number, last_record, encoded)
             self._create(incarnation, number + 1, last_record, [seal])
         except exceptions.ConflictError:
-            # The owner or another taker was faster: the caller looks again.
+            # The owner or another host created the segment first; the caller
+            # reads the tail again.
             logger.info('A seal met a conflict.', peer=str(incarnation))
 
     def _sealable(self, batch: list[holdings.HeldRecord]) -> list[bytes]:
-        """Leave intents out: a call is sent once the platform has its intent.
+        """Return the encoded records without intents.
 
-        With the held intent its outcome would be unknown, though the call
-        never ran and, once the journal is sealed, never will.
+        A call is sent only after the platform has its intent. If a held
+        intent were committed, the outcome of its call would be unknown,
+        although the call never ran and cannot run after the seal.
         """
         return [
             entry.encoded
@@ -116,9 +118,9 @@
 
 @attrs.frozen
 class JournalTree:
-    """What a journal and those that it adopted hold.
+    """Holds the records of a journal and of all journals that it adopted.
 
-    ``incarnations`` are all whose programs are among the records.
+    ``incarnations`` are those whose programs are among the records.
     """
 
     records: list[records.Record]
@@ -128,11 +130,11 @@
 class JournalTreeReader:
     """Read a sealed journal and all journals that it adopted.
 
-    :param sealer: seals adoptions that their taker did not finish.
+    :param sealer: seals journals whose adoption was not finished.
     """
 
     def __init__(self, sealer: Sealer) -> None:
-        """Remember how to seal and read."""
+        """Initialize the reader."""
         self._sealer = sealer
 
     def read(
@@ -140,9 +142,9 @@
         incarnation: identifiers.Incarnation,
         path: tuple[identifiers.Incarnation, ...],
     ) -> JournalTree:
-        """Return an incarnation's estate.
+        """Return the journal tree of an incarnation.
 
-        :param path: who adopted it, the present taker first.
+        :param path: the incarnations that adopted it, current owner first.
         """
         found: list[records.Record] = []
         incarnations = {incarnation}
@@ -163,10 +165,11 @@
         record: records.Adopted,
         path: tuple[identifiers.Incarnation, ...],
     ) -> JournalTree:
-        """Return an adopted estate, nothing if another host won it.
+        """Return an adopted journal tree, empty if another host won the seal.
 
-        The adoption was recorded before the seal, so the seal decides. One
-        that is missing is made here: the dead taker might still make it.
+        The adoption is recorded before the seal, so the seal decides. A
+        missing seal is created here, because the failed adopter might still
+        create it.
         """
         winner = self._sealer.seal(record.incarnation, path[0])
         if winner in {str(adopter) for adopter in path}:
--- a/src/carobfork/coordination/segments.py
+++ b/src/carobfork/coordination/segments.py
@@ -1,7 +1,7 @@
-"""Segments: the objects of a journal, and how a journal is read.
+"""Encode the segments of a journal and read journals.
 
-A segment starts with the number of its last record, so that records held by
-peers in an outage are told from those already committed.
+A segment starts with the number of its last record. This distinguishes the
+records held by peers in an outage from those already committed.
 """
 
 from collections.abc import Sequence
@@ -22,7 +22,7 @@
 
 
 def chunk_prefix(incarnation: identifiers.Incarnation) -> str:
-    """Return how the keys of a journal's chunks start."""
+    """Return the key prefix of a journal's chunks."""
     return f'{_CHUNK_ROOT}/{incarnation}/'
 
 
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class Tail:
-    """The end of a journal.
+    """Holds the number of the last segment and record of a journal.
 
     ``successor`` is the incarnation that sealed it, empty if none did.
     """
@@ -53,23 +53,23 @@
 
 @attrs.frozen
 class JournalContent:
-    """Everything that a journal holds, in order."""
+    """Holds all records of a journal in order."""
 
     tail: Tail
     records: list[records.Record]
 
 
 class JournalReader:
-    """Read journals, one's own or another incarnation's.
+    """Read the journals of any incarnation.
 
     :param store: the platform's object API.
-    :param codec: turns segments into records.
+    :param codec: decodes segments.
     """
 
     def __init__(
         self, store: ports.ObjectStore, codec: ports.RecordCodec
     ) -> None:
-        """Remember where to read."""
+        """Initialize the reader."""
         self._store = store
         self._codec = codec
 
@@ -89,13 +89,13 @@
     def segment(
         self, incarnation: identifiers.Incarnation, number: int
     ) -> list[records.Record]:
-        """Return a segment's records, none where it was deleted."""
+        """Return the records of a segment, none if it was deleted."""
         return self._object(segment_key(incarnation, number))
 
     def chunk(self, key: str) -> list[records.Record]:
-        """Return a chunk's records.
+        """Return the records of a chunk.
 
-        :raises PlatformError: it is missing.
+        :raises PlatformError: the chunk is missing.
         """
         found = self._object(key)
         if not found:
@@ -105,7 +105,7 @@
         return found
 
     def read(self, incarnation: identifiers.Incarnation) -> JournalContent:
-        """Return what a journal holds, its compacted part first."""
+        """Return the records of a journal, its compacted part first."""
         numbered = [
             (number, self.segment(incarnation, number))
             for number in self.numbers(incarnation)
@@ -130,7 +130,7 @@
 
 
 def last_manifest(segments) -> records.Compacted:
-    """Return the newest manifest in segments, an empty one if none."""
+    """Return the newest manifest in the segments, or an empty one."""
     manifest = records.Compacted(last_segment=0, chunks=())
     for segment in segments:
         for record in segment:
--- a/src/carobfork/coordination/successions.py
+++ b/src/carobfork/coordination/successions.py
@@ -1,4 +1,4 @@
-"""Successions: take over the programs of a host that is stopping."""
+"""Take over the programs of hosts that are stopping."""
 
 from collections.abc import Callable
 
@@ -27,7 +27,7 @@
 
 @attrs.define(eq=False)
 class _Predecessor:
-    """A stopping host whose calls are still being finished there."""
+    """A stopping host that still finishes its calls in flight."""
 
     holds: dict[str, event.Event] = attrs.Factory(dict)
     received: int = 0
@@ -35,12 +35,12 @@
 
 
 class HandoverReceiver:
-    """Serve the programs of stopping hosts, and hold their turns.
+    """Receive the programs of stopping hosts and block their busy programs.
 
-    :param home: gets the programs.
+    :param home: receives the programs.
     :param taker: adopts journals.
-    :param members: tells when a stopping host is gone.
-    :param link: carries the messages.
+    :param members: reports when a stopping host is gone.
+    :param link: receives the messages.
     :param codec: decodes the records of calls finished elsewhere.
     """
 
@@ -52,7 +52,7 @@
         link: ports.PeerLink,
         codec: ports.RecordCodec,
     ) -> None:
-        """Start without predecessors."""
+        """Initialize without predecessors and register the handlers."""
         self._home = home
         self._taker = taker
         self._codec = codec
@@ -63,9 +63,9 @@
         link.on(handovers.ProgramsIdle, self.release)
 
     def accept(self, message: handovers.HandOver) -> messages.Noted:
-        """Take a stopping host's programs over.
+        """Take over the programs of a stopping host.
 
-        :raises NotRunError: another host has them.
+        :raises NotRunError: another host has taken them over.
         """
         if not self._taker.take(message.sender):
             raise exceptions.NotRunError(
@@ -76,9 +76,9 @@
         return messages.Noted()
 
     def record(self, message: handovers.HandedRecords) -> messages.Noted:
-        """Record what a stopping host's calls brought; a repeat is skipped.
+        """Append records of a stopping host; repeated records are skipped.
 
-        :raises SealedError: this host has lost the programs itself.
+        :raises SealedError: another host owns the programs by now.
         """
         predecessor = self._predecessor(message.sender)
         content = self._codec.unpack(message.segment)
@@ -93,7 +93,7 @@
         return messages.Noted()
 
     def release(self, message: handovers.ProgramsIdle) -> None:
-        """Let programs go on whose calls have been finished."""
+        """Unblock the programs whose calls have finished."""
         predecessor = self._predecessor(message.sender)
         for program in message.programs:
             released = predecessor.holds.pop(program, None)
@@ -106,7 +106,7 @@
             if program in self._home.table.programs:
                 released = predecessor.holds.setdefault(program, event.Event())
                 self._start_holding(program, released)
-        # The greenlets take the turns before any request is read.
+        # Lets the greenlets block the programs before any request is read.
         gevent.sleep(0)
 
     def _start_holding(self, program: str, released: event.Event) -> None:
--- a/src/carobfork/coordination/takeovers.py
+++ b/src/carobfork/coordination/takeovers.py
@@ -1,9 +1,9 @@
-"""Takeovers: adopt the programs of incarnations that are gone.
+"""Take over the programs of dead or stopping incarnations.
 
-A takeover costs a few writes, however many programs there are: the adoption
-in the taker's own journal, the seal, and the taker's host object. The
-adoption is recorded first, so that a taker that dies halfway leaves a trace
-for the host that takes it over in turn.
+A takeover costs a few writes regardless of the number of programs: the
+adoption in the journal of the host that takes over, the seal, and its host
+object. The adoption is recorded first, so that it can be found if that host
+fails halfway and is taken over itself.
 """
 
 import random
@@ -42,7 +42,7 @@
 @messages.register
 @attrs.frozen
 class TakeOver:
-    """The sender is stopping and hands its programs over."""
+    """Requests that the receiver takes over a stopping incarnation."""
 
     incarnation: identifiers.Incarnation
 
@@ -50,14 +50,14 @@
 @messages.register
 @attrs.frozen
 class TakenOver:
-    """The programs are adopted."""
+    """Confirms that the programs are adopted."""
 
     incarnation: identifiers.Incarnation
 
 
 @attrs.define
 class _Suspect:
-    """A silent host, and when to look at its journal again."""
+    """A host declared dead, and when to check its journal again."""
 
     host: routing.EntryHost
     next_check_ms: float = 0
@@ -65,14 +65,14 @@
 
 
 class Takeovers:
-    """Decide which programs to take over, and take them.
-
-    :param home: gets the adopted programs.
-    :param registration: says at the platform what was adopted.
-    :param members: tells who is gone.
-    :param sealer: ends journals.
-    :param open_journal: starts the journal of a new incarnation.
-    :param timer: spaces repeated looks.
+    """Decide which programs to take over, and take them over.
+
+    :param home: receives the adopted programs.
+    :param registration: publishes the adoptions at the platform.
+    :param members: reports dead hosts.
+    :param sealer: seals journals.
+    :param open_journal: opens the journal of a new incarnation.
+    :param timer: measures backoff and durations.
     """
 
     def __init__(
@@ -84,10 +84,10 @@
         open_journal: Callable[[identifiers.Incarnation], journals.Journal],
         timer: clock.Clock,
     ) -> None:
-        """Start with nothing adopted."""
+        """Initialize without adopted incarnations."""
         self.adopted: frozenset[identifiers.Incarnation] = frozenset()
         self.last_duration_ms = 0
-        """How long the last takeover took, from its first write on."""
+        """Duration of the last takeover in ms, from its first write on."""
         self.transfer_lock = lock.RLock()
         """Held while records move between journals."""
         self._home = home
@@ -99,7 +99,7 @@
         self._suspects: dict[str, _Suspect] = {}
         self._published = self.adopted
         self.lost: frozenset[identifiers.Incarnation] = frozenset()
-        """Incarnations that other hosts were faster to take over."""
+        """Incarnations that other hosts have taken over first."""
         self._claimed: set[identifiers.Incarnation] = set()
         self._taken: frozenset[identifiers.Incarnation] = frozenset()
         self._wakeup = event.Event()
@@ -113,12 +113,12 @@
         ]
 
     def suspect(self, host: routing.EntryHost) -> None:
-        """Take a host over once it is this host's turn."""
+        """Take a host over once this host is its first live successor."""
         self._suspects[host.incarnation.host] = _Suspect(host)
         self._wakeup.set()
 
     def run(self) -> None:
-        """Take over whatever falls to this host, until killed."""
+        """Perform due takeovers until the greenlet is killed."""
         while True:
             try:
                 self.step()
@@ -128,7 +128,7 @@
             self._wakeup.wait(clock.to_seconds(CHECK_INTERVAL_MS))
 
     def step(self) -> None:
-        """Do what is due now."""
+        """Perform all takeovers that are due and publish them."""
         if _is_adopted_elsewhere(self._members):
             self._home.journal.seal()
         if self._home.journal.sealed:
@@ -141,9 +141,9 @@
         self._publish()
 
     def take(self, incarnation: identifiers.Incarnation) -> bool:
-        """Take an incarnation's programs over, and say whether they are here.
+        """Take over an incarnation and return whether this host owns it.
 
-        :raises PlatformError: not finished; ask again.
+        :raises PlatformError: the takeover is not finished; retry it.
         """
         with self.transfer_lock:
             if incarnation not in self._taken:
@@ -153,10 +153,10 @@
             return incarnation in self._taken
 
     def hand_over(self, host: routing.EntryHost, link: ports.PeerLink) -> None:
-        """Have another host take this host's programs over now.
+        """Make another host take over the programs of this host.
 
-        :raises CarobforkError: it did not confirm; the programs may be
-            either here or there.
+        :raises CarobforkError: the host did not confirm; the programs may be
+            on either host.
         """
         link.request(
             host.peer_address,
@@ -168,7 +168,7 @@
     def handle_take_over(self, message: TakeOver) -> TakenOver:
         """Take over a host that is stopping.
 
-        :raises NotRunError: another host has its programs.
+        :raises NotRunError: another host has taken its programs over.
         """
         if not self.take(message.incarnation):
             raise exceptions.NotRunError(
@@ -178,7 +178,7 @@
         return TakenOver(message.incarnation)
 
     def prune(self) -> None:
-        """Forget adopted incarnations that have no programs left."""
+        """Remove adopted incarnations that have no programs left."""
         self.adopted &= self._home.table.incarnations()
 
     def _adopt(self, incarnation: identifiers.Incarnation) -> None:
@@ -195,7 +195,7 @@
         self._admit(own, estate)
 
     def _claim(self, incarnation: identifiers.Incarnation) -> None:
-        """Record the adoption, which counts once the seal names this host."""
+        """Record the adoption, effective only if the seal names this host."""
         if incarnation in self._claimed:
             return
         self._home.journal.append(
@@ -206,14 +206,16 @@
     def _admit(
         self, own: identifiers.Incarnation, estate: seals.JournalTree
     ) -> None:
-        """Put all programs into the table at once, so none is seen in part."""
+        """Add all programs at once, so that none is visible half replayed."""
         table = programs.ProgramTable()
         for position, record in enumerate(estate.records):
             table.replay(record)
             if position % REPLAY_BATCH == 0:
                 gevent.sleep(0)
         if self._home.journal.sealed or own != self._home.journal.incarnation:
-            raise exceptions.SealedError('taken over meanwhile', step=_STEP)
+            raise exceptions.SealedError(
+                f'{own} was taken over meanwhile', step=_STEP
+            )
         self._home.table.programs.update(table.programs)
         self.adopted |= estate.incarnations
         self._taken |= estate.incarnations
@@ -231,13 +233,13 @@
         gevent.sleep(clock.to_seconds(random.uniform(0, JITTER_MS)))
         for earlier in (*suspect.host.predecessors, incarnation):
             self.take(earlier)
-        # Where another host sealed it and died in turn, that host's own
-        # takeover brings these programs along; look again, ever less often.
+        # If another host sealed the journal and then died, the takeover of
+        # that host includes these programs; check again with backoff.
         suspect.next_check_ms = now_ms + suspect.backoff_ms
         suspect.backoff_ms = min(2 * suspect.backoff_ms, MAX_BACKOFF_MS)
 
     def _is_settled(self, host: routing.EntryHost) -> bool:
-        """Tell whether a silent host came back or was taken over."""
+        """Return whether a host declared dead is back or was taken over."""
         if host.incarnation in self._taken:
             return True
         for other in self._members.live():
@@ -248,7 +250,7 @@
         return False
 
     def _restart(self) -> None:
-        """Go on empty; another host has this incarnation's programs."""
+        """Continue as an empty new incarnation after being taken over."""
         if self._members.leaving:
             return
         logger.warning('This host goes on as a new incarnation.')
@@ -272,13 +274,13 @@
 
 
 def _is_adopted_elsewhere(members: membership.Membership) -> bool:
-    """Tell whether another host says that it took this one over."""
+    """Return whether another host has published a takeover of this one."""
     own = members.own.incarnation
     return any(own in other.adopted for other in members.registered())
 
 
 def _run_and_log(action: Callable, subject: object) -> None:
-    """Do one of several things; its failure must not keep the others."""
+    """Run an action and log its failure, so that others still run."""
     try:
         action(subject)
     except exceptions.CarobforkError as error:
