--- a/tests/peer_links.py
+++ b/tests/peer_links.py
@@ -1,4 +1,4 @@
-"""Entry hosts and a peer link that tests hold in memory."""
+"""Provide entry hosts and an in-memory peer link for tests."""
 
 import collections
 
@@ -21,7 +21,7 @@
 
 
 class MemoryLink:
-    """Keep what is sent and call handlers directly."""
+    """Store sent messages and call handlers directly."""
 
     def __init__(self):
         """Start without messages."""
--- a/tests/recording_hosts.py
+++ b/tests/recording_hosts.py
@@ -1,4 +1,4 @@
-"""A host's records, its takeovers and compactions on a manual store."""
+"""Provide a host with journal, takeovers and compaction on a test store."""
 
 import gevent
 
@@ -41,7 +41,7 @@
 
 
 class Host:
-    """One host and what it decides about records.
+    """A host with its journal, takeovers and compactor.
 
     :param name: the host's name.
     :param store: the platform.
@@ -130,7 +130,7 @@
         return control.decode_host(self.store.fetch(key).body)
 
     def die(self):
-        """Commit nothing any more."""
+        """Stop all commits."""
         gevent.killall(self.greenlets)
 
     def _describe(self, number):
--- a/tests/stores.py
+++ b/tests/stores.py
@@ -1,4 +1,4 @@
-"""A manual object store, and peers that reach each other directly."""
+"""Provide an in-memory object store and directly connected peers."""
 
 import types
 
@@ -10,7 +10,7 @@
 
 
 class ManualStore:
-    """Keep objects in memory; drop requests or answers as told.
+    """Store objects in memory; drop requests or answers on demand.
 
     :param faults: one of '', 'drop' and 'lose' for each coming request.
     """
@@ -31,7 +31,7 @@
         return ports.StoredObject(key, *found) if found else None
 
     def update(self, key, body, expected_version):
-        """Replace an object, and lose the answer if so told."""
+        """Replace an object; the fault 'lose' drops the answer."""
         fault = self._next_fault()
         if fault == 'drop':
             raise self._no_answer()
--- a/tests/test_bundles.py
+++ b/tests/test_bundles.py
@@ -1,4 +1,8 @@
-"""Bundles: checks, rolls, refusals and what peers give."""
+"""Test bundle checks, rollouts and the exchange with peers.
+
+The tests guard against inconsistent, older or forged bundles in force, and
+against rollouts that overwrite each other.
+"""
 
 import json
 import unittest
@@ -22,7 +26,7 @@
 
 
 class PlainReader:
-    """Read envelopes that are bundles in JSON, signed unless they say not."""
+    """Read JSON bundles; those that start with ``FORGED`` are unsigned."""
 
     def read(self, envelope):
         """Return the bundle."""
@@ -70,7 +74,7 @@
 
 
 class BundleChecksTest(unittest.TestCase):
-    """All problems between the parts of a bundle come at once."""
+    """All inconsistencies of a bundle are reported together."""
 
     def problems(self, **changes):
         """Return what is wrong with the lab's bundle after changes."""
@@ -116,7 +120,7 @@
 
 
 class RolloutTest(unittest.TestCase):
-    """A roll is one conditional update, settled by reading back."""
+    """A rollout is one conditional update, verified by reading back."""
 
     def setUp(self):
         """Start with version 1 in force."""
@@ -124,7 +128,7 @@
         self.roll(envelope_of(1))
 
     def roll(self, envelope):
-        """Roll a bundle."""
+        """Roll out a bundle."""
         return rollouts.Rollout(self.store, PlainReader(), envelope).run()
 
     def head(self):
@@ -141,7 +145,7 @@
         self.assertEqual(winner, self.head())
 
     def test_higher_version_wins_after_a_race(self):
-        """A race lost to a lower version is run again."""
+        """A rollout that lost a race to a lower version is retried."""
         self.store.interloper = lambda: self.roll(envelope_of(2))
         self.assertEqual(3, self.roll(envelope_of(3)).version)
         self.assertEqual(envelope_of(3), self.head())
@@ -214,7 +218,7 @@
         self.assertEqual(envelope_of(4), self.peers.answer(asked(3)).envelope)
 
     def test_late_subscriber_gets_the_bundle_in_force(self):
-        """A part built after the bundle came learns of it."""
+        """A listener added after the bundle gets it immediately."""
         self.gate.offer(envelope_of(4))
         late = []
         self.holder.subscribe(late.append)
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -1,4 +1,8 @@
-"""Handovers: calls in progress keep their order and their records."""
+"""Test the handover of programs at a planned stop.
+
+The tests guard against lost or doubled records and reordered calls of
+programs whose calls are in flight during the handover.
+"""
 
 import unittest
 from unittest import mock
@@ -87,7 +91,7 @@
         self.succession.release(message)
 
     def finish_call(self, key):
-        """Record what a call in progress brought, as its host does."""
+        """Record the answer of a call in flight at the stopping host."""
         entry = self.stopping.home.journal.enqueue(answer_of(self.program, key))
         journals.wait_for(entry.committed, timeout_ms=None)
 
@@ -112,7 +116,7 @@
             return self.successor.history(self.program)
 
     def test_repeated_records_count_once(self):
-        """A batch whose reply was lost and that comes again is skipped."""
+        """A batch that is sent again after a lost reply is skipped."""
         self.busy.clear()
         self.handover.run()
         codec = recording_hosts.CODEC
@@ -126,7 +130,7 @@
         self.assertEqual(1, program.ledger.spent_tokens)
 
     def test_without_successor_the_programs_stay(self):
-        """What was recorded meanwhile goes into this host's journal."""
+        """Records of a failed handover go to the journal of this host."""
         self.is_cut = True
         self.handover.run()
         self.assertIsNone(self.requests.successor)
--- a/tests/test_journals.py
+++ b/tests/test_journals.py
@@ -1,4 +1,9 @@
-"""Journals: what was acknowledged is there, once and in order."""
+"""Test that acknowledged records are in the journal once and in order.
+
+The tests guard against records that are lost, doubled or reordered when the
+platform drops requests, loses answers or is down, and when hosts seal the
+journal at the same time.
+"""
 
 import logging
 import unittest
@@ -30,19 +35,19 @@
 
 
 def setUpModule():  # noqa: N802
-    """Log errors only: examples cause faults by the hundred."""
+    """Log errors only, since the examples cause hundreds of faults."""
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR),
     )
 
 
 def tearDownModule():  # noqa: N802
-    """Log as before."""
+    """Restore the log settings."""
     structlog.reset_defaults()
 
 
 def closed(number):
-    """Return a record that tells its number."""
+    """Return a record that carries its number as the reason."""
     return records.ProgramClosed('program', str(number))
 
 
@@ -52,7 +57,7 @@
 
 
 def kept(entries):
-    """Return the records that were acknowledged."""
+    """Return the records that were acknowledged as durable."""
     return [entry.record for entry in entries if entry.durable.successful()]
 
 
@@ -72,7 +77,7 @@
         batches=strategies.lists(strategies.integers(1, 4), max_size=8),
     )
     def test_commits_each_record_once(self, faults, batches):
-        """Whatever is lost, the journal holds each record once, in order."""
+        """The journal holds each record once and in order despite faults."""
         store = stores.ManualStore(faults)
         applied = []
         journal = journals.Journal(
@@ -103,7 +108,7 @@
         ),
     )
     def test_one_successor_sees_all(self, faults, steps):
-        """One seal wins; it loses nothing acknowledged, before or after."""
+        """Only one seal succeeds, and no acknowledged record is lost."""
         store = stores.ManualStore(faults)
         journal = journals.Journal(
             store,
@@ -130,7 +135,7 @@
 @mock.patch.object(appenders, 'RETRY_DELAY_MS', 0)
 @mock.patch.object(journals, 'COMMIT_INTERVAL_MS', 0)
 class OutageTest(unittest.TestCase):
-    """Records held by peers, on a platform that comes and goes."""
+    """Records held by peers while the platform is intermittently down."""
 
     @FEW
     @hypothesis.given(
@@ -143,7 +148,7 @@
         ),
     )
     def test_loses_nothing_acknowledged(self, steps):
-        """The seal comes after all that was acknowledged, early or late."""
+        """A seal at any time comes after all acknowledged records."""
         outage = Outage()
         for step in steps:
             getattr(outage, step)()
@@ -172,7 +177,7 @@
         outage.end()
 
     def test_needs_two_peers(self):
-        """One copy at a peer is not enough."""
+        """A replica at one peer does not acknowledge a record."""
         outage = Outage()
         outage.toggle()
         outage.append()
@@ -182,7 +187,11 @@
         outage.end()
 
     def test_refuses_to_hold_for_a_sealed_owner(self):
-        """A frozen owner cannot have records held that its taker missed."""
+        """Peers refuse records of an owner after its takeover collected them.
+
+        Otherwise an owner that was suspended could have records
+        acknowledged that its successor never sees.
+        """
         outage = Outage()
         outage.append()
         outage.seal()
@@ -195,7 +204,7 @@
 
 
 class HoldingsTest(unittest.TestCase):
-    """What a peer holds, and for whom."""
+    """The buffer of records held for other hosts."""
 
     def setUp(self):
         """Hold one record."""
@@ -211,7 +220,7 @@
         )
 
     def test_a_late_release_lifts_no_fence(self):
-        """Only a segment that the collector did not know proves a commit."""
+        """Only a segment unknown to the collector lifts the refusal to hold."""
         owner = OWNER.incarnation
         self.holdings.collect(holdings.CollectRecords(owner, 0, 3))
         self.holdings.release(holdings.RecordsCommitted(owner, 1, 3))
@@ -222,7 +231,7 @@
         self.assertEqual(self.holdings.counts(), {str(owner): 1})
 
     def test_holds_a_bounded_amount(self):
-        """Beyond the limit a record is refused, not kept."""
+        """A record beyond the size limit is refused."""
         with mock.patch.object(holdings, 'MAX_HELD_BYTES', 6):
             with self.assertRaises(stores.exceptions.OverloadedError):
                 self.hold(2)
@@ -230,7 +239,7 @@
 
 
 class Outage:
-    """An owner, three peers of which the last takes over, a platform."""
+    """A platform, an owner and three peers, the last of which takes over."""
 
     def __init__(self):
         """Start with the platform up."""
@@ -260,7 +269,7 @@
         self._running = gevent.spawn(self.journal.run)
 
     def append(self):
-        """Enqueue a record at the owner, frozen or not."""
+        """Enqueue a record at the owner unless its journal is sealed."""
         if not self.journal.sealed:
             record = closed(len(self.entries))
             self.entries.append(self.journal.enqueue(record))
@@ -271,12 +280,12 @@
         self.store.down = not self.store.down
 
     def offer(self):
-        """Let the owner look whether its commits stall."""
+        """Let the owner check whether its commits stall."""
         self._keeper.step()
         spin()
 
     def cut(self, *peers):
-        """Cut peers off, those that hold records unless told otherwise."""
+        """Cut peers off, by default the two that hold records."""
         for peer in peers or (FIRST, SECOND):
             self.link.cut.add(peer.peer_address)
 
@@ -285,18 +294,18 @@
         self.link.cut.clear()
 
     def seal(self):
-        """Let the last peer take the owner over, if it can."""
+        """Let the last peer try to seal the journal of the owner."""
         try:
             self._sealer.seal(OWNER.incarnation, THIRD.incarnation)
         except stores.exceptions.CarobforkError:
             return
 
     def kept(self):
-        """Return what was acknowledged."""
+        """Return the records acknowledged as durable."""
         return kept(self.entries)
 
     def end(self):
-        """Take over with all up and return the journal's records."""
+        """Seal with everything reachable and return the journal's records."""
         self.store.down = False
         self.mend()
         self.seal()
@@ -319,7 +328,7 @@
 
 
 def try_seal(store, taker):
-    """Return the successor that a seal names, if the store answers."""
+    """Return the successor that the seal names, empty without an answer."""
     sealer = seals.Sealer(store, CODEC, NoHolders())
     try:
         return {sealer.seal(OWNER.incarnation, taker)}
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,8 @@
-"""Membership: silence, freezes, incarnations and hosts that leave."""
+"""Test failure detection, suspension, incarnations and leaving hosts.
+
+The tests guard against live hosts that are declared dead, also after a
+suspension of this process, and against callers sent to leaving hosts.
+"""
 
 import unittest
 
@@ -39,7 +43,7 @@
         self.members.on_death(self.deaths.append)
 
     def rounds(self, count, heard=()):
-        """Let heartbeat rounds pass, in which some hosts are heard."""
+        """Run heartbeat rounds with heartbeats from some hosts."""
         for _ in range(count):
             self.timer.advance(membership.HEARTBEAT_INTERVAL_MS)
             for sender in heard:
@@ -47,7 +51,7 @@
             self.members.beat()
 
     def test_silent_host_is_declared_dead_once(self):
-        """A silent host is reported once; one that is heard is not."""
+        """A host without heartbeats is reported once, others are not."""
         others = [peer_links.host('entry-3'), peer_links.host('entry-4')]
         self.rounds(8, heard=others)
         self.assertEqual([self.other], self.deaths)
@@ -60,7 +64,7 @@
         self.assertIn(self.other, self.members.live())
 
     def test_own_freeze_declares_nobody_dead(self):
-        """After a freeze of this process silences are counted anew."""
+        """After a suspension of this process all timeouts restart."""
         self.rounds(2)
         self.timer.advance(60_000)
         self.members.beat()
@@ -91,7 +95,7 @@
         self.assertEqual(3, len(router.addresses().addresses))
 
     def test_leaving_alone_is_still_named(self):
-        """Where all hosts leave, callers are told those that still serve."""
+        """If all hosts are leaving, address answers name all of them."""
         for host in self.directory.registered():
             self.link.deliver(messages.Leaving(host.incarnation))
         self.members.leaving = True
@@ -103,7 +107,7 @@
         self.assertEqual(4, len(router.addresses().addresses))
 
     def test_detector_forgets_old_incarnations(self):
-        """What is kept is bounded by the hosts that are registered."""
+        """The detector keeps data of registered incarnations only."""
         detector = detectors.FailureDetector(self.timer)
         for number in range(100):
             detector.record_heartbeat(
--- a/tests/test_takeovers.py
+++ b/tests/test_takeovers.py
@@ -1,4 +1,8 @@
-"""Takeovers: one successor, nothing lost, whoever dies in between."""
+"""Test takeovers and compactions on one store.
+
+The tests guard against programs that are lost or owned twice when hosts fail
+before, during or after a takeover, and when journals are compacted.
+"""
 
 import unittest
 from unittest import mock
@@ -18,7 +22,7 @@
 @mock.patch.object(takeovers, 'JITTER_MS', 0)
 @mock.patch.object(journals, 'COMMIT_INTERVAL_MS', 0)
 class TakeoverTest(unittest.TestCase):
-    """Hosts that take each other over on one store."""
+    """Hosts that take over each other's programs on one store."""
 
     def setUp(self):
         """Start three hosts, the first with a program of one turn."""
@@ -35,7 +39,7 @@
             host.die()
 
     def test_one_write_a_host(self):
-        """The taker writes the same however many programs there are."""
+        """A takeover costs the same writes for any number of programs."""
         for _ in range(20):
             self.first.open()
         before = self.store.writes
@@ -51,7 +55,7 @@
         )
 
     def test_one_of_two_takers_wins(self):
-        """The loser has no programs and the former owner knows."""
+        """The loser has no programs, and the former owner cannot append."""
         dead = self.first.incarnation
         self.assertTrue(self.third.takeovers.take(dead))
         self.assertFalse(self.second.takeovers.take(dead))
@@ -60,7 +64,7 @@
             self.first.answer(self.program, 'turn 2')
 
     def test_a_taken_host_goes_on_empty(self):
-        """It registers anew; its former incarnation stays with the taker."""
+        """A host that was taken over continues as an empty incarnation."""
         former = self.first.incarnation
         self.second.takeovers.take(former)
         with self.assertRaises(exceptions.SealedError):
@@ -74,7 +78,7 @@
         self.assertEqual(self.first.history(other), ['turn 1'])
 
     def test_the_taker_dies_too(self):
-        """Its own taker gets what it had adopted, and what came after."""
+        """The next takeover gets the adopted and the later records."""
         self.second.takeovers.take(self.first.incarnation)
         self.second.answer(self.program, 'turn 2')
         self.third.takeovers.take(self.second.incarnation)
@@ -89,7 +93,7 @@
         )
 
     def test_the_taker_dies_before_the_seal(self):
-        """Its taker seals in its place, so that it cannot come back."""
+        """The next host creates the missing seal, which keeps others out."""
         adoption = records.Adopted(self.first.incarnation)
         self.second.home.journal.append(adoption, 1000)
         self.third.takeovers.take(self.second.incarnation)
@@ -109,7 +113,7 @@
         self.assertEqual(self.third.history(self.program), ['turn 1'])
 
     def test_a_lost_adoption_counts_for_nothing(self):
-        """Who recorded an adoption and lost the seal passes nothing on."""
+        """An adoption without the seal passes no programs on."""
         adoption = records.Adopted(self.first.incarnation)
         self.second.home.journal.append(adoption, 1000)
         self.third.takeovers.take(self.first.incarnation)
@@ -120,7 +124,7 @@
         self.assertEqual(fourth.table.programs, {})
 
     def test_a_restart_adopts_all_earlier_lives(self):
-        """Also where a life ended before it had adopted the one before."""
+        """A restart adopts incarnations that no earlier restart adopted."""
         self.first.die()
         between = recording_hosts.Host('entry-1', self.store)
         between.die()
@@ -146,7 +150,7 @@
         self.assertEqual(self.second.history(self.program), ['turn 1'])
 
     def test_one_failure_keeps_no_other(self):
-        """A host that cannot be sealed does not hold the next one up."""
+        """A journal that cannot be sealed does not delay other takeovers."""
         self.second.takeovers.suspect(self.third.own)
         self.second.takeovers.suspect(self.first.own)
         broken = f'journal/{self.third.incarnation}/'
@@ -166,7 +170,7 @@
         )
 
     def test_who_comes_back_is_left_alone(self):
-        """A host that is heard again is not taken over."""
+        """A host that is alive again is not taken over."""
         self.second.members.registered().append(self.first.own)
         self.second.takeovers.suspect(self.first.own)
         self.second.takeovers.step()
@@ -177,7 +181,7 @@
 @mock.patch.object(journals, 'COMMIT_INTERVAL_MS', 0)
 @mock.patch.object(compactions, 'DELETE_INTERVAL_MS', 0)
 class CompactionTest(unittest.TestCase):
-    """Chunks instead of segments, and nothing else changed."""
+    """Compaction replaces segments by chunks without other effects."""
 
     def setUp(self):
         """Start two hosts, the first with a program of many turns."""
@@ -222,7 +226,7 @@
         )
 
     def test_merges_adopted_journals(self):
-        """Their segments go but for the seal, and so does the adoption."""
+        """Segments of adopted journals are deleted except for the seal."""
         former = self.first.incarnation
         self.second.takeovers.take(former)
         self.second.answer(self.program, 'after')
@@ -236,7 +240,7 @@
         self.assertIn(former, third.takeovers.adopted)
 
     def test_drops_forgotten_programs(self):
-        """Chunks of programs that ended go with the next compaction."""
+        """The next compaction drops the chunks of forgotten programs."""
         self.first.compactor.step(min_segments=1)
         self.first.table.programs.pop(self.program)
         self.first.open()
