--- a/src/carobfork/coordination/handovers.py
+++ b/src/carobfork/coordination/handovers.py
@@ -1,8 +1,9 @@
-"""Handovers: give all programs to a successor at a planned stop.
+"""Hand all programs over to a successor at a planned stop.
 
-The successor takes the whole journal over, which is one write, not one for
-each program. Calls in progress are finished here and their records are sent
-to the successor, which holds the turns of their programs until then.
+The successor takes the whole journal over, which costs one write instead of
+one for each program. Calls in flight finish on this host, and their records
+are sent to the successor. Until then the successor blocks further calls of
+their programs.
 """
 
 import random
@@ -29,8 +30,8 @@
 FLUSH_TIMEOUT_MS = 5000
 RECORDS_TIMEOUT_MS = 10_000
 FINISH_TIMEOUT_MS = 60_000
-BATCH_RECORDS = 200
-ATTEMPTS = 3
+MAX_BATCH_RECORDS = 200
+MAX_ATTEMPTS = 3
 _POLL_MS = 50
 
 logger = structlog.get_logger(part='handovers')
@@ -39,9 +40,9 @@
 @messages.register
 @attrs.frozen
 class HandOver:
-    """The sender stops; the receiver is to take its programs over.
+    """Requests that the receiver takes over the programs of the sender.
 
-    ``busy`` lists the programs whose calls the sender still finishes.
+    ``busy`` lists the programs with calls that the sender still finishes.
     """
 
     sender: identifiers.Incarnation
@@ -51,7 +52,10 @@
 @messages.register
 @attrs.frozen
 class HandedRecords:
-    """Records of calls that the sender finishes, numbered from ``first``."""
+    """Carries records of calls finished by the sender.
+
+    ``first`` is the number of the first record.
+    """
 
     sender: identifiers.Incarnation
     first: int
@@ -61,21 +65,21 @@
 @messages.register
 @attrs.frozen
 class ProgramsIdle:
-    """The sender has finished the calls of these programs."""
+    """Reports that the sender has finished the calls of these programs."""
 
     sender: identifiers.Incarnation
     programs: tuple[str, ...]
 
 
 class Handover:
-    """Give this host's programs to a successor.
-
-    :param home: this host's programs.
-    :param members: who stays.
-    :param link: how to reach the successor.
-    :param codec: encodes the records sent to it.
-    :param requests: pauses new requests meanwhile.
-    :param under_way: returns the programs with calls in progress.
+    """Hand the programs of this host over to a successor.
+
+    :param home: the programs of this host.
+    :param members: provides the hosts that are not leaving.
+    :param link: sends messages to the successor.
+    :param codec: encodes the records sent to the successor.
+    :param requests: pauses new requests during the handover.
+    :param programs_in_flight: returns the programs with calls in flight.
     """
 
     def __init__(
@@ -85,55 +89,57 @@
         link: ports.PeerLink,
         codec: ports.RecordCodec,
         requests: local_requests.LocalRequests,
-        under_way: Callable[[], set[str]],
+        programs_in_flight: Callable[[], set[str]],
     ) -> None:
-        """Prepare the handover; ``run`` begins it."""
+        """Initialize the handover; ``run`` starts it."""
         self._home = home
         self._members = members
         self._link = link
         self._codec = codec
         self._requests = requests
-        self._under_way = under_way
+        self._under_way = programs_in_flight
         self._queue: list[journals.Entry] = []
         self._queued = event.Event()
         self._sent = 0
 
     def run(self) -> None:
-        """Hand over and finish what is in progress, within bounds.
+        """Hand the programs over and finish calls in flight, within timeouts.
 
-        Where no successor confirms it the programs stay here until the host
-        ends, and other hosts then take them over as from a dead one.
+        If no successor confirms, the programs stay on this host until it
+        stops; other hosts then take them over as after a failure.
         """
         self._requests.pause()
         journal = self._home.journal
-        journal.diversion = self._take
+        journal.diversion = self._enqueue
         try:
             successor = self._ask_any()
         except exceptions.CarobforkError as error:
             logger.warning('The programs stay here.', error=str(error))
-            self._keep_all(journal)
+            self._record_locally(journal)
             self._requests.resume(successor=None)
             return
         journal.seal()
         self._requests.resume(successor)
         self._finish(successor)
 
-    def _keep_all(self, journal: journals.Journal) -> None:
-        """Record here what was to be sent to a successor."""
+    def _record_locally(self, journal: journals.Journal) -> None:
+        """Append the queued records to the local journal."""
         if not journal.sealed:
             journal.end_diversion(self._queue)
             return
-        # A successor has the programs although it did not confirm it.
+        # A successor took the programs over but its confirmation was lost.
         for entry in self._queue:
-            entry.fail(_lost('the journal is sealed'))
+            entry.fail(_unconfirmed_error('the journal is sealed'))
 
     def _ask_any(self) -> routing.EntryHost:
-        """Ask hosts that stay until one has taken the programs.
+        """Ask hosts that are not leaving until one has taken the programs.
 
-        :raises CarobforkError: none confirmed it.
+        :raises CarobforkError: no host confirmed.
         """
         self._flush()
-        failure = exceptions.NotRunError('no host stays', step='hand over')
+        failure = exceptions.NotRunError(
+            'every other host is leaving or dead', step='hand over'
+        )
         for successor in self._candidates():
             try:
                 return self._ask(successor)
@@ -142,9 +148,9 @@
         raise failure
 
     def _flush(self) -> None:
-        """Wait until the journal holds everything recorded so far.
+        """Wait until all entries so far are committed.
 
-        :raises PlatformError: the platform does not answer.
+        :raises PlatformError: they are not committed in time.
         """
         journal = self._home.journal
         for _ in range(FLUSH_TIMEOUT_MS // _POLL_MS):
@@ -152,12 +158,13 @@
                 return
             gevent.sleep(clock.to_seconds(_POLL_MS))
         raise exceptions.PlatformError(
-            'the last records are not committed', step='hand over'
+            f'records were not committed within {FLUSH_TIMEOUT_MS} ms',
+            step='hand over',
         )
 
     def _candidates(self) -> list[routing.EntryHost]:
         staying = self._members.staying()
-        count = min(ATTEMPTS, len(staying))
+        count = min(MAX_ATTEMPTS, len(staying))
         return random.sample(staying, count)
 
     def _ask(self, successor: routing.EntryHost) -> routing.EntryHost:
@@ -173,7 +180,7 @@
         return successor
 
     def _finish(self, successor: routing.EntryHost) -> None:
-        """Send records on and report programs until none is busy."""
+        """Forward records and report idle programs until none is busy."""
         sender = gevent.spawn(self._send_all, successor)
         waiting = self._busy()
         for _ in range(FINISH_TIMEOUT_MS // _POLL_MS):
@@ -191,7 +198,7 @@
     def _busy(self) -> set[str]:
         return self._under_way() | self._requests.active_programs()
 
-    def _take(self, entry: journals.Entry) -> None:
+    def _enqueue(self, entry: journals.Entry) -> None:
         self._queue.append(entry)
         self._queued.set()
 
@@ -199,7 +206,7 @@
         while True:
             self._queued.wait()
             while self._queue:
-                self._send(successor, self._queue[:BATCH_RECORDS])
+                self._send(successor, self._queue[:MAX_BATCH_RECORDS])
             self._queued.clear()
 
     def _send(
@@ -212,17 +219,17 @@
         except exceptions.CarobforkError as error:
             logger.warning('Records were not handed over.', error=str(error))
             for lost in batch:
-                lost.fail(_lost(error))
+                lost.fail(_unconfirmed_error(error))
         else:
             for entry in batch:
-                entry.note_committed(self._home.journal.apply)
+                entry.mark_committed(self._home.journal.apply)
         self._sent += len(batch)
         self._queue = self._queue[len(batch) :]
 
     def _request(
         self, successor: routing.EntryHost, request: HandedRecords
     ) -> None:
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             try:
                 self._link.request(
                     successor.peer_address, request, RECORDS_TIMEOUT_MS
@@ -238,7 +245,7 @@
         return self._members.own.incarnation
 
 
-def _lost(reason: object) -> exceptions.UnknownOutcomeError:
+def _unconfirmed_error(reason: object) -> exceptions.UnknownOutcomeError:
     return exceptions.UnknownOutcomeError(
         f'the successor did not confirm the record: {reason}',
         step='hand over',
--- a/src/carobfork/coordination/homes.py
+++ b/src/carobfork/coordination/homes.py
@@ -134,7 +134,7 @@
             still be later.
         """
         self.require_owned(program)
-        self.journal.keep(record, timeout_ms)
+        self.journal.append_durable(record, timeout_ms)
 
     def enqueue_record(
         self, program: programs.Program, record: records.Record
@@ -234,7 +234,7 @@
             token_digest=identifiers.digest(opened.token.encode()),
             parent=parent,
         )
-        self.journal.keep(record, OPEN_TIMEOUT_MS)
+        self.journal.append_durable(record, OPEN_TIMEOUT_MS)
         self._close_orphan(parent, opened.program)
         return opened
 
--- a/src/carobfork/coordination/journals.py
+++ b/src/carobfork/coordination/journals.py
@@ -1,8 +1,9 @@
-"""Journals: records committed in groups, fenced by their own numbering.
+"""Append records to a journal in group commits.
 
 An incarnation appends segments ``journal/<incarnation>/<n>`` by conditional
-create. Whoever takes its programs over creates the next segment as a seal;
-from then on the former owner's appends fail. No clock guards the records.
+create. The host that takes its programs over creates the next segment as a
+seal, after which all appends of the former owner fail. This fencing relies on
+the segment numbers and not on clocks.
 """
 
 import itertools
@@ -17,8 +18,8 @@
 from carobfork.coordination import appenders, ports, segments
 from carobfork.state import identifiers, records
 
-SEGMENT_BYTES = 700_000
-PENDING_BYTES = 16_000_000
+MAX_SEGMENT_BYTES = 700_000
+MAX_PENDING_BYTES = 16_000_000
 COMMIT_INTERVAL_MS = 50
 _STEP = 'append'
 _PEER = 'platform'
@@ -28,7 +29,7 @@
 
 @attrs.define(eq=False)
 class Entry:
-    """A record on its way into the journal.
+    """A record that is being appended to the journal.
 
     ``committed`` is set once the platform holds it, ``kept`` once the
     platform or two peers do. An ``offered`` entry was sent to peers.
@@ -38,35 +39,35 @@
     record: records.Record
     encoded: bytes
     committed: event.AsyncResult = attrs.Factory(event.AsyncResult)
-    kept: event.AsyncResult = attrs.Factory(event.AsyncResult)
-    offered: bool = False
+    durable: event.AsyncResult = attrs.Factory(event.AsyncResult)
+    sent_to_peers: bool = False
     applied: bool = False
 
-    def note_kept(self, apply: Callable[[records.Record], None]) -> None:
-        """Apply the record once and tell those who wait for it."""
+    def mark_durable(self, apply: Callable[[records.Record], None]) -> None:
+        """Mark the record as durable, apply it once and wake waiters."""
         if not self.applied:
             self.applied = True
             apply(self.record)
-            self.kept.set()
+            self.durable.set()
 
-    def note_committed(self, apply: Callable[[records.Record], None]) -> None:
-        """Note that a journal holds the record."""
-        self.note_kept(apply)
+    def mark_committed(self, apply: Callable[[records.Record], None]) -> None:
+        """Mark the record as committed to a journal and wake waiters."""
+        self.mark_durable(apply)
         self.committed.set()
 
     def fail(self, error: Exception) -> None:
-        """Tell those who wait that the record was not committed."""
+        """Raise an error in all waiters: the record was not committed."""
         self.committed.set_exception(error)
         if not self.applied:
-            self.kept.set_exception(error)
+            self.durable.set_exception(error)
 
 
 class Journal:
-    """Append records of one incarnation in group commits.
+    """Append the records of one incarnation in group commits.
 
     :param store: the platform's object API.
-    :param codec: turns records into bytes.
-    :param incarnation: the owner.
+    :param codec: encodes records.
+    :param incarnation: the owner of the journal.
     :param apply: called with each record once it is kept, in order.
     """
 
@@ -77,7 +78,7 @@
         incarnation: identifiers.Incarnation,
         apply: Callable[[records.Record], None],
     ) -> None:
-        """Start with an empty journal; ``run`` commits to it."""
+        """Initialize an empty journal; ``run`` commits to it."""
         self.incarnation = incarnation
         self.sealed = False
         self.records_committed = 0
@@ -92,39 +93,42 @@
         self._pending_bytes = 0
         self._wakeup = event.Event()
         self.diversion: Callable[[Entry], None] | None = None
-        """Takes further entries instead of this journal, if it is set."""
+        """Receives new entries instead of this journal, if set."""
 
     @property
     def stalled(self) -> bool:
-        """Whether the platform did not answer the last attempt."""
+        """Whether the last commit attempt failed without an answer."""
         return self.segments.stalled
 
     @property
     def pending_bytes(self) -> int:
-        """Encoded size of the records that wait for a commit."""
+        """Encoded size in bytes of the records that wait for a commit."""
         return self._pending_bytes
 
     def append(self, record: records.Record, timeout_ms: int | None) -> None:
         """Append a record and wait until it is committed.
 
-        :param timeout_ms: how long to wait; nothing waits without limit.
+        :param timeout_ms: how long to wait; ``None`` waits without limit.
         :raises SealedError: another host owns these programs now.
-        :raises PlatformError: not committed in time; it still may be.
+        :raises PlatformError: the record was not committed in time; it may
+            still be committed later.
         """
         wait_for(self.enqueue(record).committed, timeout_ms)
 
-    def keep(self, record: records.Record, timeout_ms: int | None) -> None:
+    def append_durable(
+        self, record: records.Record, timeout_ms: int | None
+    ) -> None:
         """Append a record and wait until the platform or two peers hold it.
 
-        Parameters and errors are those of ``append``.
+        Parameters and errors are the same as for ``append``.
         """
-        wait_for(self.enqueue(record).kept, timeout_ms)
+        wait_for(self.enqueue(record).durable, timeout_ms)
 
     def enqueue(self, record: records.Record) -> Entry:
         """Append a record without waiting for its commit.
 
         :raises SealedError: another host owns these programs now.
-        :raises PlatformError: too many records wait already.
+        :raises PlatformError: too many bytes already wait for a commit.
         """
         if self.diversion is not None:
             encoded = self._codec.encode(record)
@@ -133,9 +137,11 @@
             return entry
         if self.sealed:
             raise appenders.sealed_error(self.incarnation)
-        if self._pending_bytes > PENDING_BYTES:
+        if self._pending_bytes > MAX_PENDING_BYTES:
             raise exceptions.PlatformError(
-                'too many records wait for the platform', step=_STEP, peer=_PEER
+                f'{self._pending_bytes} bytes of records wait for a commit',
+                step=_STEP,
+                peer=_PEER,
             )
         encoded = self._codec.encode(record)
         entry = Entry(next(self._numbers), record, encoded)
@@ -145,15 +151,15 @@
         return entry
 
     def end_diversion(self, entries: list[Entry]) -> None:
-        """Commit from now on, and first what the diversion took."""
+        """Resume local commits, starting with the diverted entries."""
         self.diversion = None
         self._pending.extend(entries)
         self._pending_bytes += sum(len(entry.encoded) for entry in entries)
         self._wakeup.set()
 
     def withdraw(self, entry: Entry) -> bool:
-        """Take an entry back and say whether nothing holds it."""
-        if entry.offered or entry not in self._pending:
+        """Remove a pending entry and return whether no host holds it."""
+        if entry.sent_to_peers or entry not in self._pending:
             return False
         self._pending.remove(entry)
         self._pending_bytes -= len(entry.encoded)
@@ -163,15 +169,15 @@
         """Return the entries that are not committed, oldest first."""
         return [*self._in_flight, *self._pending]
 
-    def note_kept(self, entries: list[Entry]) -> None:
-        """Apply entries that peers hold and tell those who wait."""
+    def mark_durable(self, entries: list[Entry]) -> None:
+        """Apply entries that peers hold and wake their waiters."""
         if self.sealed:
             return
         for entry in entries:
-            entry.note_kept(self.apply)
+            entry.mark_durable(self.apply)
 
     def seal(self) -> None:
-        """Refuse all further records; another host owns the programs."""
+        """Reject all further records: another host owns the programs."""
         if self.sealed:
             return
         logger.warning('The journal is sealed.', peer=str(self.incarnation))
@@ -192,7 +198,7 @@
             gevent.sleep(clock.to_seconds(COMMIT_INTERVAL_MS))
 
     def flush(self) -> None:
-        """Commit everything pending now, a segment's size at most."""
+        """Commit the pending records, up to the size of one segment."""
         self._in_flight = self._take_batch()
         if not self._in_flight:
             return
@@ -201,7 +207,7 @@
         except exceptions.SealedError:
             self.seal()
         else:
-            self._note_committed()
+            self._mark_batch_committed()
         finally:
             self._in_flight = []
 
@@ -210,7 +216,7 @@
         count = 0
         for entry in self._pending:
             size += len(entry.encoded)
-            if count and size > SEGMENT_BYTES:
+            if count and size > MAX_SEGMENT_BYTES:
                 break
             count += 1
         batch = self._pending[:count]
@@ -227,25 +233,29 @@
             [entry.encoded for entry in batch],
         )
 
-    def _note_committed(self) -> None:
+    def _mark_batch_committed(self) -> None:
         if self.sealed:
             return
         self.records_committed += len(self._in_flight)
         self.last_record = self._in_flight[-1].number
         for entry in self._in_flight:
-            entry.note_committed(self.apply)
+            entry.mark_committed(self.apply)
 
 
 def wait_for(settled: event.AsyncResult, timeout_ms: int | None) -> None:
-    """Wait until an entry is settled.
+    """Wait until an entry is committed or durable.
 
+    :param settled: the ``committed`` or ``durable`` result of the entry.
+    :param timeout_ms: how long to wait; ``None`` waits without limit.
     :raises SealedError: another host owns these programs now.
-    :raises PlatformError: not settled in time; it still may be.
+    :raises PlatformError: it was not settled in time; it may be later.
     """
     seconds = None if timeout_ms is None else clock.to_seconds(timeout_ms)
     try:
         settled.get(timeout=seconds)
     except gevent.Timeout:
         raise exceptions.PlatformError(
-            'the record was not committed in time', step=_STEP, peer=_PEER
+            f'the record was not committed within {timeout_ms} ms',
+            step=_STEP,
+            peer=_PEER,
         ) from None
--- a/src/carobfork/coordination/keepers.py
+++ b/src/carobfork/coordination/keepers.py
@@ -1,4 +1,4 @@
-"""Keepers: keep this host's records at two peers while the platform is down."""
+"""Replicate uncommitted records to two peers during a platform outage."""
 
 from collections.abc import Callable
 
@@ -15,19 +15,19 @@
 )
 from carobfork.state import identifiers
 
-COPIES = 2
+PEER_REPLICAS = 2
 CHECK_INTERVAL_MS = 100
 HOLD_TIMEOUT_MS = 1000
 
 logger = structlog.get_logger(part='keepers')
 
 
-class RecordKeeper:
-    """Offer uncommitted records to peers for as long as commits stall.
+class RecordReplicator:
+    """Replicate uncommitted records to peers while commits stall.
 
-    :param members: who may hold them.
-    :param link: how to reach the peers.
-    :param journal: returns the journal in use.
+    :param members: provides the hosts that may hold records.
+    :param link: sends requests to peers.
+    :param journal: returns the current journal.
     """
 
     def __init__(
@@ -36,24 +36,24 @@
         link: ports.PeerLink,
         journal: Callable[[], journals.Journal],
     ) -> None:
-        """Start with nothing held."""
+        """Initialize the replicator without replicas."""
         self._members = members
         self._link = link
         self._journal = journal
-        self._of: journals.Journal | None = None
+        self._current_journal: journals.Journal | None = None
         self._held: dict[routing.EntryHost, int] = {}
 
     def run(self) -> None:
-        """Watch the journal until the greenlet is killed."""
+        """Check the journal periodically until the greenlet is killed."""
         while True:
             self.step()
             gevent.sleep(clock.to_seconds(CHECK_INTERVAL_MS))
 
     def step(self) -> None:
-        """Offer records if commits stall, have them dropped if they do not."""
+        """Replicate records while commits stall, else release the replicas."""
         journal = self._journal()
-        if journal is not self._of:
-            self._of = journal
+        if journal is not self._current_journal:
+            self._current_journal = journal
             self._held.clear()
         if journal.stalled and not journal.sealed:
             self._offer(journal)
@@ -63,17 +63,19 @@
     def _offer(self, journal: journals.Journal) -> None:
         entries = journal.uncommitted()
         holders = self._holders(journal.incarnation)
-        if len(holders) < COPIES:
+        if len(holders) < PEER_REPLICAS:
             return
         for entry in entries:
-            entry.offered = True
+            entry.sent_to_peers = True
         replies = [
             gevent.spawn(self._hold, host, journal.incarnation, entries)
             for host in holders
         ]
         gevent.joinall(replies)
         kept = min(self._held.get(host, 0) for host in holders)
-        journal.note_kept([entry for entry in entries if entry.number <= kept])
+        journal.mark_durable(
+            [entry for entry in entries if entry.number <= kept]
+        )
 
     def _holders(
         self, incarnation: identifiers.Incarnation
@@ -81,7 +83,7 @@
         live = {host.incarnation for host in self._members.live()}
         successors = self._members.successors(incarnation.host)
         return [host for host in successors if host.incarnation in live][
-            :COPIES
+            :PEER_REPLICAS
         ]
 
     def _hold(
@@ -96,7 +98,9 @@
             try:
                 self._link.request(host.peer_address, message, HOLD_TIMEOUT_MS)
             except exceptions.CarobforkError as error:
-                logger.warning('A peer holds no records.', error=str(error))
+                logger.warning(
+                    'A peer did not accept records.', error=str(error)
+                )
                 return
             self._held[host] = page[-1].number
 
@@ -120,9 +124,9 @@
     entries: list[journals.Entry],
 ) -> list[list[holdings.HeldRecord]]:
     pages: list[list[holdings.HeldRecord]] = []
-    size = holdings.PAGE_BYTES
+    size = holdings.MAX_PAGE_BYTES
     for entry in entries:
-        if size >= holdings.PAGE_BYTES:
+        if size >= holdings.MAX_PAGE_BYTES:
             pages.append([])
             size = 0
         pages[-1].append(holdings.HeldRecord(entry.number, entry.encoded))
--- a/src/carobfork/coordination/program_reapers.py
+++ b/src/carobfork/coordination/program_reapers.py
@@ -62,7 +62,7 @@
         for program in tree:
             self._models.cancel_program(program.identifier, reason)
         for end in ends:
-            journals.wait_for(end.kept, END_TIMEOUT_MS)
+            journals.wait_for(end.durable, END_TIMEOUT_MS)
         self.ended += len(tree)
         gevent.spawn(self._release, tree, ends)
 
--- a/src/carobfork/coordination/service_calls.py
+++ b/src/carobfork/coordination/service_calls.py
@@ -200,7 +200,7 @@
                 # The journal's backlog is full.
                 gevent.sleep(clock.to_seconds(_RECORD_RETRY_DELAY_MS))
                 continue
-            journals.wait_for(entry.kept, timeout_ms=None)
+            journals.wait_for(entry.durable, timeout_ms=None)
             return
 
     def _exchange(
--- a/src/carobfork/coordination/successions.py
+++ b/src/carobfork/coordination/successions.py
@@ -1,4 +1,4 @@
-"""Successions: take over the programs of a host that is stopping."""
+"""Take over the programs of hosts that are stopping."""
 
 from collections.abc import Callable
 
@@ -27,20 +27,20 @@
 
 @attrs.define(eq=False)
 class _Predecessor:
-    """A stopping host whose calls are still being finished there."""
+    """A stopping host that still finishes its calls in flight."""
 
     holds: dict[str, event.Event] = attrs.Factory(dict)
     received: int = 0
     entries: list[journals.Entry] = attrs.Factory(list)
 
 
-class Successions:
-    """Serve the programs of stopping hosts, and hold their turns.
+class HandoverReceiver:
+    """Receive the programs of stopping hosts and block their busy programs.
 
-    :param home: gets the programs.
+    :param home: receives the programs.
     :param taker: adopts journals.
-    :param members: tells when a stopping host is gone.
-    :param link: carries the messages.
+    :param members: reports when a stopping host is gone.
+    :param link: receives the messages.
     :param codec: decodes the records of calls finished elsewhere.
     """
 
@@ -52,35 +52,35 @@
         link: ports.PeerLink,
         codec: ports.RecordCodec,
     ) -> None:
-        """Start without predecessors."""
+        """Initialize without predecessors and register the handlers."""
         self._home = home
         self._taker = taker
         self._codec = codec
         self._predecessors: dict[identifiers.Incarnation, _Predecessor] = {}
         members.on_death(self._forget)
         link.on(handovers.HandOver, self.accept)
-        link.on(handovers.HandedRecords, self.keep)
+        link.on(handovers.HandedRecords, self.record)
         link.on(handovers.ProgramsIdle, self.release)
 
     def accept(self, message: handovers.HandOver) -> messages.Noted:
-        """Take a stopping host's programs over.
+        """Take over the programs of a stopping host.
 
-        :raises NotRunError: another host has them.
+        :raises NotRunError: another host has taken them over.
         """
         if not self._taker.take(message.sender):
             raise exceptions.NotRunError(
                 'another host took the programs over', step='hand over'
             )
         self._hold(message)
-        self._taker.answer(takeovers.TakeOver(message.sender))
+        self._taker.handle_take_over(takeovers.TakeOver(message.sender))
         return messages.Noted()
 
-    def keep(self, message: handovers.HandedRecords) -> messages.Noted:
-        """Record what a stopping host's calls brought; a repeat is skipped.
+    def record(self, message: handovers.HandedRecords) -> messages.Noted:
+        """Append records of a stopping host; repeated records are skipped.
 
-        :raises SealedError: this host has lost the programs itself.
+        :raises SealedError: another host owns the programs by now.
         """
-        predecessor = self._of(message.sender)
+        predecessor = self._predecessor(message.sender)
         content = self._codec.unpack(message.segment)
         fresh = content[max(predecessor.received - message.first, 0) :]
         predecessor.entries = [
@@ -93,20 +93,20 @@
         return messages.Noted()
 
     def release(self, message: handovers.ProgramsIdle) -> None:
-        """Let programs go on whose calls have been finished."""
-        predecessor = self._of(message.sender)
+        """Unblock the programs whose calls have finished."""
+        predecessor = self._predecessor(message.sender)
         for program in message.programs:
             released = predecessor.holds.pop(program, None)
             if released is not None:
                 released.set()
 
     def _hold(self, message: handovers.HandOver) -> None:
-        predecessor = self._of(message.sender)
+        predecessor = self._predecessor(message.sender)
         for program in message.busy:
             if program in self._home.table.programs:
                 released = predecessor.holds.setdefault(program, event.Event())
                 self._start_holding(program, released)
-        # The greenlets take the turns before any request is read.
+        # Lets the greenlets block the programs before any request is read.
         gevent.sleep(0)
 
     def _start_holding(self, program: str, released: event.Event) -> None:
@@ -125,5 +125,7 @@
             for released in predecessor.holds.values():
                 released.set()
 
-    def _of(self, incarnation: identifiers.Incarnation) -> _Predecessor:
+    def _predecessor(
+        self, incarnation: identifiers.Incarnation
+    ) -> _Predecessor:
         return self._predecessors.setdefault(incarnation, _Predecessor())
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,8 @@
-"""Membership: silence, freezes, incarnations and hosts that leave."""
+"""Test failure detection, suspension, incarnations and leaving hosts.
+
+The tests guard against live hosts that are declared dead, also after a
+suspension of this process, and against callers sent to leaving hosts.
+"""
 
 import unittest
 
@@ -27,7 +31,7 @@
         self.own = peer_links.host('entry-1')
         self.other = peer_links.host('entry-2')
         for number in range(1, 5):
-            self.directory.note(peer_links.host(f'entry-{number}'))
+            self.directory.add(peer_links.host(f'entry-{number}'))
         self.members = membership.Membership(
             self.own,
             self.directory,
@@ -39,7 +43,7 @@
         self.members.on_death(self.deaths.append)
 
     def rounds(self, count, heard=()):
-        """Let heartbeat rounds pass, in which some hosts are heard."""
+        """Run heartbeat rounds with heartbeats from some hosts."""
         for _ in range(count):
             self.timer.advance(membership.HEARTBEAT_INTERVAL_MS)
             for sender in heard:
@@ -47,7 +51,7 @@
             self.members.beat()
 
     def test_silent_host_is_declared_dead_once(self):
-        """A silent host is reported once; one that is heard is not."""
+        """A host without heartbeats is reported once, others are not."""
         others = [peer_links.host('entry-3'), peer_links.host('entry-4')]
         self.rounds(8, heard=others)
         self.assertEqual([self.other], self.deaths)
@@ -60,7 +64,7 @@
         self.assertIn(self.other, self.members.live())
 
     def test_own_freeze_declares_nobody_dead(self):
-        """After a freeze of this process silences are counted anew."""
+        """After a suspension of this process all timeouts restart."""
         self.rounds(2)
         self.timer.advance(60_000)
         self.members.beat()
@@ -74,7 +78,7 @@
         self.link.deliver(messages.Leaving(self.other.incarnation))
         self.rounds(8)
         reborn = peer_links.host('entry-2', number=2)
-        self.directory.note(reborn)
+        self.directory.add(reborn)
         self.rounds(1)
         self.assertIn(reborn, self.members.staying())
         self.assertNotIn(self.other, self.members.live())
@@ -91,7 +95,7 @@
         self.assertEqual(3, len(router.addresses().addresses))
 
     def test_leaving_alone_is_still_named(self):
-        """Where all hosts leave, callers are told those that still serve."""
+        """If all hosts are leaving, address answers name all of them."""
         for host in self.directory.registered():
             self.link.deliver(messages.Leaving(host.incarnation))
         self.members.leaving = True
@@ -103,12 +107,14 @@
         self.assertEqual(4, len(router.addresses().addresses))
 
     def test_detector_forgets_old_incarnations(self):
-        """What is kept is bounded by the hosts that are registered."""
+        """The detector keeps data of registered incarnations only."""
         detector = detectors.FailureDetector(self.timer)
         for number in range(100):
-            detector.hear(peer_links.host('entry-2', number).incarnation)
-        detector.keep({self.other.incarnation})
-        self.assertEqual(1, len(detector._heard_ms))
+            detector.record_heartbeat(
+                peer_links.host('entry-2', number).incarnation
+            )
+        detector.retain_only({self.other.incarnation})
+        self.assertEqual(1, len(detector._last_heartbeat_ms))
 
 
 class RingTest(unittest.TestCase):
