--- a/src/carobfork/coordination/model_calls.py
+++ b/src/carobfork/coordination/model_calls.py
@@ -69,7 +69,7 @@
         """Cancel calls without a reader for more than ``READER_GRACE_MS``."""
         for key, run in list(self.runs.items()):
             if run.unread_ms > READER_GRACE_MS:
-                self.cancel_run(key, 'its caller is gone')
+                self.cancel_run(key, 'its caller disconnected')
 
     def cancel_run(self, key: tuple[str, str], reason: str) -> None:
         """Cancel one call.
