--- a/src/carobfork/gateway/admissions.py
+++ b/src/carobfork/gateway/admissions.py
@@ -112,7 +112,7 @@
         # of a burst.
         jitter = (hash(context.call.attempt) % _JITTER_STEPS) / _JITTER_STEPS
         return exceptions.OverloadedError(
-            f'{reason}; {len(queue.waiting)} calls are waiting',
+            f'{reason}; {len(queue.waiting)} wait',
             step='admit',
             peer=context.service,
             retry_after_ms=int(queue.retry_after_ms(left_ms, jitter)),
--- a/src/carobfork/storage/clients.py
+++ b/src/carobfork/storage/clients.py
@@ -188,7 +188,7 @@
             found = self._fetch_chain_part(missing)
             if found is None:
                 raise exceptions.NotRunError(
-                    f'no reachable store host holds turn {missing}',
+                    f'turn {missing} is out of reach',
                     step=_STEP,
                     retry_after_ms=RETRY_AFTER_MS,
                 )
