--- a/src/carobfork/coordination/pool_hosts.py
+++ b/src/carobfork/coordination/pool_hosts.py
@@ -153,8 +153,8 @@
 
         def handle(message) -> None:  # noqa: WPS430
             server = self._find_server(message.pool)
-            # An unknown pool becomes known with the next bundle. Until then
-            # the holder's periodic summaries repeat what the message said.
+            # An unknown pool becomes known with a later bundle. The holder's
+            # periodic summaries then make up for the dropped message.
             if server is not None:
                 action(server, message)
 
--- a/src/carobfork/coordination/slot_clients.py
+++ b/src/carobfork/coordination/slot_clients.py
@@ -229,5 +229,5 @@
 
 def _no_worker_error(model: str) -> exceptions.NotRunError:
     return exceptions.NotRunError(
-        f'no worker serves model "{model}"', step='find pool', peer=model
+        'no worker serves the model', step='find pool', peer=model
     )
