--- a/src/carobfork/coordination/bundle_checks.py
+++ b/src/carobfork/coordination/bundle_checks.py
@@ -55,7 +55,7 @@
     """Check a bundle.
 
     :param source: name of the bundle in error messages.
-    :raises SettingsError: the bundle has problems; the error names all.
+    :raises SettingsError: if the bundle has problems; the error names all.
     """
     problems = [problem for check in CHECKS for problem in check(bundle)]
     if problems:
@@ -98,13 +98,16 @@
         if kind.rank not in known:
             yield Problem(
                 f'programs[{index}].rank',
-                f'"{kind.rank}" is no rank, allowed: {", ".join(known)}',
+                f'"{kind.rank}" is not a rank, allowed: {", ".join(known)}',
             )
 
 
 @register
 def check_shares(bundle: bundles.Bundle) -> Iterator[Problem]:
-    """Check that the shares sum to at most 1; fields check single shares."""
+    """Check that the shares sum to at most 1.
+
+    The range of a single share is checked by its field.
+    """
     total = sum(rank.share for rank in bundle.ranks)
     if total > MAX_TOTAL_SHARE + _ROUNDING:
         yield Problem('ranks', f'the shares sum to {total:g}, more than 1')
@@ -115,10 +118,10 @@
     """Check that models have workers and services have servers."""
     for index, model in enumerate(bundle.models):
         if not model.workers:
-            yield Problem(f'models[{index}].workers', 'there are none')
+            yield Problem(f'models[{index}].workers', 'must not be empty')
     for number, service in enumerate(bundle.services):
         if not service.servers:
-            yield Problem(f'services[{number}].servers', 'there are none')
+            yield Problem(f'services[{number}].servers', 'must not be empty')
 
 
 @register
@@ -145,4 +148,4 @@
 ) -> Iterator[Problem]:
     for member, count in collections.Counter(members).items():
         if count > 1:
-            yield Problem(path, f'{noun} "{member}" stands {count} times')
+            yield Problem(path, f'{noun} "{member}" occurs {count} times')
--- a/src/carobfork/coordination/bundle_peers.py
+++ b/src/carobfork/coordination/bundle_peers.py
@@ -41,7 +41,7 @@
 
 
 class BundlePeers:
-    """Exchange the bundle in force with peers.
+    """Exchanges the bundle in force with peers.
 
     :param link: sends and receives the messages.
     :param holder: holds the bundle in force.
--- a/src/carobfork/coordination/control.py
+++ b/src/carobfork/coordination/control.py
@@ -24,12 +24,12 @@
 
 
 class BundleReader(Protocol):
-    """Check and parse signed bundles."""
+    """Checks and parses signed bundles."""
 
     def read(self, envelope: bytes) -> bundles.Bundle:
         """Return the bundle.
 
-        :raises SettingsError: the signature or the content is wrong.
+        :raises SettingsError: if the signature or the content is wrong.
         """
 
     def claimed_version(self, envelope: bytes) -> int:
@@ -49,14 +49,14 @@
 
     @property
     def version(self) -> int:
-        """The version in force, 0 for none."""
+        """The version of the bundle in force, 0 if there is none."""
         return self._bundle.version if self._bundle else 0
 
     @property
     def current(self) -> bundles.Bundle:
         """The bundle in force.
 
-        :raises NotRunError: there is none yet.
+        :raises NotRunError: if there is none yet.
         """
         if self._bundle is None:
             raise exceptions.NotRunError(
@@ -82,9 +82,9 @@
 
 
 class BundleGate:
-    """Verify signed bundles and put them in force.
+    """Verifies signed bundles and puts them in force.
 
-    :param reader: checks their signatures and content.
+    :param reader: checks the signature and content of bundles.
     :param holder: holds the bundle in force.
     """
 
@@ -98,7 +98,7 @@
     def offer(self, envelope: bytes) -> None:
         """Check a signed bundle and put it in force if it is newer.
 
-        :raises SettingsError: the signature or the content is wrong.
+        :raises SettingsError: if the signature or the content is wrong.
         """
         bundle = self._reader.read(envelope)
         if self._holder.offer(bundle):
@@ -138,7 +138,8 @@
 ) -> routing.EntryHost:
     """Register a new incarnation of a host at the platform.
 
-    :param describe: returns the host for an incarnation's number.
+    :param store: the platform's object API.
+    :param describe: returns the host for an incarnation number.
     """
     while True:
         try:
@@ -171,7 +172,7 @@
 def mark_leaving(store: ports.ObjectStore, host: routing.EntryHost) -> None:
     """Mark a host as about to stop in its host object.
 
-    :raises PlatformError: the platform did not confirm it.
+    :raises PlatformError: if the platform does not confirm it.
     """
     key = HOSTS_PREFIX + host.incarnation.host
     found = store.fetch(key)
@@ -193,7 +194,7 @@
 
 
 class ControlWatch:
-    """Follow the platform's control objects.
+    """Follows the control objects of the platform.
 
     :param store: the platform's object API.
     :param directory: receives the hosts.
--- a/src/carobfork/coordination/detectors.py
+++ b/src/carobfork/coordination/detectors.py
@@ -10,7 +10,7 @@
 
 
 class FailureDetector:
-    """Declare a host dead when its heartbeats stop.
+    """Declares a host dead when its heartbeats stop.
 
     A process that was suspended received no heartbeats. When it resumes, all
     timeouts start again; otherwise it would declare every other host dead.
@@ -35,7 +35,7 @@
         return incarnation in self._dead
 
     def start_round(self) -> bool:
-        """Start a round of checks and return whether this process stalled."""
+        """Start a round and return whether this process was suspended."""
         now_ms = self._timer.now_ms()
         stalled = now_ms - self._ticked_ms > MIN_STALL_MS
         self._ticked_ms = now_ms
@@ -44,7 +44,7 @@
         return stalled
 
     def check(self, incarnation: identifiers.Incarnation) -> bool:
-        """Return whether this check declares a host dead.
+        """Check a host and return whether it is newly declared dead.
 
         The first check of a host starts its timeout.
         """
--- a/src/carobfork/coordination/handovers.py
+++ b/src/carobfork/coordination/handovers.py
@@ -72,7 +72,7 @@
 
 
 class Handover:
-    """Hand the programs of this host over to a successor.
+    """Hands the programs of this host over to a successor.
 
     :param home: the programs of this host.
     :param members: provides the hosts that are not leaving.
@@ -134,7 +134,7 @@
     def _ask_any(self) -> routing.EntryHost:
         """Ask hosts that are not leaving until one has taken the programs.
 
-        :raises CarobforkError: no host confirmed.
+        :raises CarobforkError: if no host confirms.
         """
         self._flush()
         failure = exceptions.NotRunError(
@@ -148,9 +148,9 @@
         raise failure
 
     def _flush(self) -> None:
-        """Wait until all entries so far are committed.
+        """Wait until the entries of the journal are committed.
 
-        :raises PlatformError: they are not committed in time.
+        :raises PlatformError: if they are not committed in time.
         """
         journal = self._home.journal
         for _ in range(FLUSH_TIMEOUT_MS // _POLL_MS):
--- a/src/carobfork/coordination/mailboxes.py
+++ b/src/carobfork/coordination/mailboxes.py
@@ -7,7 +7,7 @@
 
 
 class Mailbox:
-    """Send one-way messages; those to this host are handled immediately.
+    """Sends one-way messages; those to this host are handled immediately.
 
     :param find_own: returns the incarnation of this host, which changes after
         another host has taken this one over.
--- a/src/carobfork/coordination/membership.py
+++ b/src/carobfork/coordination/membership.py
@@ -32,7 +32,7 @@
 
 
 class Membership:
-    """Exchange heartbeats with other hosts and track their liveness.
+    """Exchanges heartbeats with other hosts and tracks their liveness.
 
     :param own: this host.
     :param directory: the registered hosts.
@@ -93,7 +93,11 @@
         self._listeners.append(listener)
 
     def on_version(self, listener: VersionListener) -> None:
-        """Call ``listener`` with each bundle version and its host's address."""
+        """Call ``listener`` for each heartbeat of a registered host.
+
+        It gets the bundle version of the heartbeat and the peer address of
+        the host.
+        """
         self._version_listeners.append(listener)
 
     def successors(self, name: str) -> list[routing.EntryHost]:
--- a/src/carobfork/coordination/messages.py
+++ b/src/carobfork/coordination/messages.py
@@ -34,7 +34,7 @@
 @register
 @attrs.frozen
 class Leaving:
-    """Reports that a host is about to stop; address answers leave it out."""
+    """Reports that a host is about to stop; address answers omit it."""
 
     sender: identifiers.Incarnation
 
--- a/src/carobfork/coordination/ownerships.py
+++ b/src/carobfork/coordination/ownerships.py
@@ -17,9 +17,9 @@
 
 
 class Ownership:
-    """Detect suspensions of this process and confirm the ownership.
+    """Detects suspensions of this process and confirms the ownership.
 
-    :param timer: monotonic time.
+    :param timer: provides monotonic time.
     """
 
     def __init__(self, timer: clock.Clock) -> None:
@@ -45,8 +45,8 @@
     def confirm(self, journal: journals.Journal) -> None:
         """Confirm that the journal is open if there was a suspension.
 
-        :raises SealedError: the journal is sealed.
-        :raises NotRunError: the platform did not confirm in time.
+        :raises SealedError: if the journal is sealed.
+        :raises NotRunError: if the platform does not confirm in time.
         """
         self.check_clock()
         while self._confirmed != self.standstills:
--- a/src/carobfork/coordination/registrations.py
+++ b/src/carobfork/coordination/registrations.py
@@ -14,11 +14,11 @@
 
 
 class Registration:
-    """Register incarnations of this host and publish their takeovers.
+    """Registers incarnations of this host and publishes their takeovers.
 
     :param store: the platform's object API.
     :param directory: gets each new incarnation immediately.
-    :param describe: returns the host for an incarnation's number.
+    :param describe: returns the host for an incarnation number.
     """
 
     def __init__(
@@ -47,8 +47,8 @@
 
         :param adopted: the adopted incarnations.
         :param settled: earlier incarnations that need no takeover anymore.
-        :raises PlatformError: the platform did not confirm it.
-        :raises SealedError: a newer incarnation of this host is registered.
+        :raises PlatformError: if the platform does not confirm it.
+        :raises SealedError: if a newer incarnation of this host is registered.
         """
         while not self._publish_once(adopted, settled):
             # Another component of this host updated the object, or the answer
--- a/src/carobfork/coordination/rollouts.py
+++ b/src/carobfork/coordination/rollouts.py
@@ -21,7 +21,7 @@
 
 
 class Rollout:
-    """Roll out one signed bundle.
+    """Rolls out one signed bundle.
 
     :param store: the platform's object API.
     :param reader: parses envelopes and checks their signatures.
@@ -36,7 +36,7 @@
     ) -> None:
         """Read and check the bundle.
 
-        :raises SettingsError: the signature or the content is wrong.
+        :raises SettingsError: if the signature or the content is wrong.
         """
         self.offered = reader.read(envelope)
         self._store = store
@@ -47,9 +47,11 @@
     def run(self) -> bundles.Bundle:
         """Put the bundle in force and return it.
 
-        :raises ConflictError: another bundle won; the error names its version.
-        :raises PlatformError: the platform did not answer; nothing was sent.
-        :raises UnknownOutcomeError: the outcome of the update is unknown.
+        :raises ConflictError: if another bundle won; the error names its
+            version.
+        :raises PlatformError: if the platform does not answer and nothing was
+            sent.
+        :raises UnknownOutcomeError: if the outcome of the update is unknown.
         """
         for _ in range(MAX_ATTEMPTS):
             try:
@@ -65,13 +67,13 @@
     def _exhausted(self) -> exceptions.CarobforkError:
         if not self._was_sent:
             return exceptions.PlatformError(
-                'the platform does not answer; nothing was rolled',
+                'the platform does not answer; nothing was rolled out',
                 step=_STEP,
                 peer=_PEER,
             )
         return exceptions.UnknownOutcomeError(
             f'the platform did not say whether version {self.offered.version} '
-            'is in force; roll it again',
+            'is in force; roll it out again',
             step=_STEP,
             peer=_PEER,
         )
@@ -91,8 +93,8 @@
     def _require_newer(self, envelope: bytes) -> None:
         """Check that the offered bundle is newer than the head object.
 
-        A head not signed by the operators is replaced by a version above the
-        one that it claims; no host has it in force.
+        A head object that the operators did not sign is in force on no host.
+        It is replaced by any version above the one that it claims.
         """
         version = self._reader.claimed_version(envelope)
         if version >= self.offered.version:
--- a/src/carobfork/coordination/successions.py
+++ b/src/carobfork/coordination/successions.py
@@ -35,7 +35,7 @@
 
 
 class HandoverReceiver:
-    """Receive the programs of stopping hosts and block their busy programs.
+    """Receives the programs of stopping hosts and blocks the busy ones.
 
     :param home: receives the programs.
     :param taker: adopts journals.
@@ -65,7 +65,7 @@
     def accept(self, message: handovers.HandOver) -> messages.Noted:
         """Take over the programs of a stopping host.
 
-        :raises NotRunError: another host has taken them over.
+        :raises NotRunError: if another host has taken them over.
         """
         if not self._taker.take(message.sender):
             raise exceptions.NotRunError(
@@ -78,7 +78,7 @@
     def record(self, message: handovers.HandedRecords) -> messages.Noted:
         """Append records of a stopping host; repeated records are skipped.
 
-        :raises SealedError: another host owns the programs by now.
+        :raises SealedError: if this host no longer owns the programs.
         """
         predecessor = self._predecessor(message.sender)
         content = self._codec.unpack(message.segment)
--- a/tests/test_bundles.py
+++ b/tests/test_bundles.py
@@ -97,11 +97,11 @@
             policy=bundles.Policy(order='by_name', placement='nowhere'),
         )
         for part in (
-            'bundle.ranks: name "urgent" stands 2 times',
+            'bundle.ranks: name "urgent" occurs 2 times',
             'bundle.ranks: the shares sum to 1.8, more than 1',
-            'bundle.programs[2].rank: "routine" is no rank, allowed: urgent',
-            'bundle.models[0].workers: there are none',
-            'bundle.services[0].servers: there are none',
+            'bundle.programs[2].rank: "routine" is not a rank, allowed: urgent',
+            'bundle.models[0].workers: must not be empty',
+            'bundle.services[0].servers: must not be empty',
             'bundle.policy.order: "by_name" is unknown',
             'bundle.policy.placement: "nowhere" is unknown',
         ):
@@ -115,8 +115,8 @@
         message = self.problems(
             models=(bundles.Model('talk', (worker,)),), services=(doubled,)
         )
-        self.assertIn('name "service-1" stands 2 times', message)
-        self.assertIn('target "POST /cut" stands 2 times', message)
+        self.assertIn('name "service-1" occurs 2 times', message)
+        self.assertIn('target "POST /cut" occurs 2 times', message)
 
 
 class RolloutTest(unittest.TestCase):
