--- a/src/carobfork/coordination/compactions.py
+++ b/src/carobfork/coordination/compactions.py
@@ -69,7 +69,7 @@
         self._home = home
         self._adoptions = adoptions
         self._sealer = sealer
-        self._estates = seals.JournalTreeReader(sealer)
+        self._tree_reader = seals.JournalTreeReader(sealer)
         self._numbers = itertools.count(1)
         self._progress = _Progress(home.journal)
 
@@ -151,12 +151,12 @@
             if record.incarnation not in self._adoptions.lost:
                 writer.add(record)
             return frozenset()
-        estate = self._estates.read(record.incarnation, (own,))
-        for adopted in estate.records:
+        tree = self._tree_reader.read(record.incarnation, (own,))
+        for adopted in tree.records:
             self._copy_live(writer, adopted)
-        for incarnation in sorted(estate.incarnations):
+        for incarnation in sorted(tree.incarnations):
             self._copy_live(writer, records.Adopted(incarnation, merged=True))
-        return estate.incarnations
+        return tree.incarnations
 
     def _copy_live(
         self, writer: chunks.ChunkWriter, record: records.Record
--- a/src/carobfork/coordination/seals.py
+++ b/src/carobfork/coordination/seals.py
@@ -155,9 +155,9 @@
             elif record.merged:
                 incarnations.add(record.incarnation)
             elif record.incarnation not in incarnations:
-                estate = self._adopted(record, (*path, incarnation))
-                found.extend(estate.records)
-                incarnations |= estate.incarnations
+                tree = self._adopted(record, (*path, incarnation))
+                found.extend(tree.records)
+                incarnations |= tree.incarnations
         return JournalTree(found, frozenset(incarnations))
 
     def _adopted(
--- a/src/carobfork/coordination/takeovers.py
+++ b/src/carobfork/coordination/takeovers.py
@@ -191,8 +191,8 @@
             self.lost |= {incarnation}
             logger.info('Another host took over.', peer=winner)
             return
-        estate = seals.JournalTreeReader(self._sealer).read(incarnation, (own,))
-        self._admit(own, estate)
+        tree = seals.JournalTreeReader(self._sealer).read(incarnation, (own,))
+        self._admit(own, tree)
 
     def _claim(self, incarnation: identifiers.Incarnation) -> None:
         """Record the adoption, effective only if the seal names this host."""
@@ -204,11 +204,11 @@
         self._claimed.add(incarnation)
 
     def _admit(
-        self, own: identifiers.Incarnation, estate: seals.JournalTree
+        self, own: identifiers.Incarnation, tree: seals.JournalTree
     ) -> None:
         """Add all programs at once, so that none is visible half replayed."""
         table = programs.ProgramTable()
-        for position, record in enumerate(estate.records):
+        for position, record in enumerate(tree.records):
             table.apply_if_known(record)
             if position % REPLAY_BATCH == 0:
                 gevent.sleep(0)
@@ -217,8 +217,8 @@
                 f'{own} was taken over meanwhile', step=_STEP
             )
         self._home.table.programs.update(table.programs)
-        self.adopted |= estate.incarnations
-        self._taken |= estate.incarnations
+        self.adopted |= tree.incarnations
+        self._taken |= tree.incarnations
         logger.info('Programs were adopted.', programs=len(table.programs))
 
     def _take_over_if_due(self, suspect: _Suspect) -> None:
@@ -264,8 +264,8 @@
             self._home.reset(self._open_journal(own.incarnation))
 
     def _publish(self) -> None:
-        open_ones = set(self._registration.own.predecessors)
-        done = open_ones & (self.adopted | self.lost)
+        unfinished = set(self._registration.own.predecessors)
+        done = unfinished & (self.adopted | self.lost)
         if self.adopted == self._published and not done:
             return
         adopted = self.adopted
