--- a/src/carobfork/coordination/appenders.py
+++ b/src/carobfork/coordination/appenders.py
@@ -12,7 +12,7 @@
 
 
 class SegmentAppender:
-    """Append segments by conditional create, retrying until they exist.
+    """Appends segments by conditional create, retrying until they exist.
 
     :param store: the platform's object API.
     :param incarnation: the owner of the journal.
@@ -34,7 +34,7 @@
         """Create the next segment, retrying while the platform is down.
 
         :param segment: the packed records.
-        :raises SealedError: another host created this segment as a seal.
+        :raises SealedError: if another host has sealed the journal.
         """
         key = segments.segment_key(self._incarnation, self.last_number + 1)
         while not self._create(key, segment):
@@ -65,7 +65,7 @@
     def _is_own(self, key: str, segment: bytes) -> bool:
         """Return whether the conflicting object is this host's own write.
 
-        :raises SealedError: it is the seal of another host.
+        :raises SealedError: if another host wrote it to seal the journal.
         """
         try:
             found = self._store.fetch(key)
--- a/src/carobfork/coordination/chunks.py
+++ b/src/carobfork/coordination/chunks.py
@@ -8,12 +8,12 @@
 from carobfork.state import programs, records, spending
 
 _MIN_LIVE_RATIO = 0.5
-"""A chunk is rewritten once its live records fill less than this ratio."""
+"""A chunk is kept if live records fill more than this ratio of its limit."""
 
 
 @attrs.define
 class ChunkSummary:
-    """Holds the number of bytes of each program in a chunk."""
+    """Holds the encoded size of each program's records in a chunk."""
 
     program_bytes: dict[str, int] = attrs.Factory(dict)
 
@@ -35,12 +35,12 @@
 
 
 class ChunkWriter:
-    """Write records to chunks in order.
+    """Writes records to chunks in order.
 
     :param store: the platform's object API.
     :param codec: encodes the records.
     :param new_key: returns an unused key.
-    :param written: gets a summary of each chunk.
+    :param written: receives a summary of each new chunk, by key.
     """
 
     def __init__(
--- a/src/carobfork/coordination/compactions.py
+++ b/src/carobfork/coordination/compactions.py
@@ -1,10 +1,10 @@
 """Compact journals to bound their size and the data read at a restart.
 
-Committed segments are merged into chunks that leave out the records of
-forgotten programs; a manifest in the journal then replaces the segments by
-the chunks. Chunks whose records are mostly live are kept unchanged, so that a
-long history is not copied by every compaction. Journals of adopted
-incarnations are merged the same way.
+Committed segments are merged into chunks that leave out the records no longer
+needed to restore programs; a manifest in the journal then replaces the
+segments by the chunks. Chunks whose records are mostly live are kept
+unchanged, so that a long history is not copied by every compaction. Journals
+of adopted incarnations are merged the same way.
 """
 
 import itertools
@@ -45,7 +45,7 @@
 
 
 class Compactor:
-    """Compact the journal of this host.
+    """Compacts the journal of this host.
 
     :param store: the platform's object API.
     :param codec: encodes chunks.
@@ -86,7 +86,7 @@
         """Compact if enough segments were committed since the last run.
 
         :param min_segments: number of new segments that is enough.
-        :raises PlatformError: the platform did not answer.
+        :raises PlatformError: if the platform did not answer.
         """
         journal = self._home.journal
         if journal is not self._progress.journal:
--- a/src/carobfork/coordination/gatherers.py
+++ b/src/carobfork/coordination/gatherers.py
@@ -1,4 +1,4 @@
-"""Collect the records that peers hold for a dead host."""
+"""Collect the records that peers hold for an incarnation to be sealed."""
 
 from carobfork.coordination import (
     holdings,
@@ -13,7 +13,7 @@
 
 
 class HeldRecordCollector:
-    """Collect the held records of an incarnation from all live hosts.
+    """Collects the held records of an incarnation from live hosts.
 
     :param members: provides the hosts that may hold records.
     :param link: sends requests to peers.
@@ -37,8 +37,8 @@
         """Return the held records that are not committed, oldest first.
 
         :param tail: the end of the journal, which tells what is committed.
-        :raises ConnectionFailedError: a live peer did not answer; it may
-            have the only copy of some records.
+        :raises ConnectionFailedError: if a live peer did not answer; it
+            may have the only copy of some records.
         """
         found: dict[int, holdings.HeldRecord] = {}
         for host in self._holders(incarnation):
--- a/src/carobfork/coordination/holdings.py
+++ b/src/carobfork/coordination/holdings.py
@@ -108,8 +108,8 @@
     def hold(self, message: HoldRecords) -> RecordsHeld:
         """Add records to the buffer.
 
-        :raises SealedError: the owner is being taken over.
-        :raises OverloadedError: the buffer is full.
+        :raises SealedError: if the owner is being taken over.
+        :raises OverloadedError: if the buffer is full.
         """
         if message.owner in self._fences:
             raise exceptions.SealedError(
@@ -141,7 +141,7 @@
             self._held.pop(message.owner, None)
 
     def collect(self, message: CollectRecords) -> RecordsCollected:
-        """Return a page of an owner's records and refuse to hold more."""
+        """Return a page of an owner's records and refuse further ones."""
         self._fences[message.owner] = message.last_segment
         while len(self._fences) > MAX_FENCES:
             self._fences.pop(next(iter(self._fences)))
--- a/src/carobfork/coordination/journals.py
+++ b/src/carobfork/coordination/journals.py
@@ -31,8 +31,9 @@
 class Entry:
     """A record that is being appended to the journal.
 
-    ``committed`` is set once the platform holds it, ``kept`` once the
-    platform or two peers do. An ``offered`` entry was sent to peers.
+    ``committed`` is set once the platform holds it, ``durable`` once the
+    platform or two peers do. ``sent_to_peers`` tells whether peers may hold
+    it, and ``applied`` whether its change was made to the programs.
     """
 
     number: int
@@ -56,19 +57,19 @@
         self.committed.set()
 
     def fail(self, error: Exception) -> None:
-        """Raise an error in all waiters: the record was not committed."""
+        """Raise an error in all waiters, as the record was not committed."""
         self.committed.set_exception(error)
         if not self.applied:
             self.durable.set_exception(error)
 
 
 class Journal:
-    """Append the records of one incarnation in group commits.
+    """Appends the records of one incarnation in group commits.
 
     :param store: the platform's object API.
     :param codec: encodes records.
     :param incarnation: the owner of the journal.
-    :param apply: called with each record once it is kept, in order.
+    :param apply: called with each record once it is durable, in order.
     """
 
     def __init__(
@@ -109,9 +110,9 @@
         """Append a record and wait until it is committed.
 
         :param timeout_ms: how long to wait; ``None`` waits without limit.
-        :raises SealedError: another host owns these programs now.
-        :raises PlatformError: the record was not committed in time; it may
-            still be committed later.
+        :raises SealedError: if another host owns these programs now.
+        :raises PlatformError: if the record was not committed in time; it
+            may still be committed later.
         """
         wait_for(self.enqueue(record).committed, timeout_ms)
 
@@ -127,8 +128,8 @@
     def enqueue(self, record: records.Record) -> Entry:
         """Append a record without waiting for its commit.
 
-        :raises SealedError: another host owns these programs now.
-        :raises PlatformError: too many bytes already wait for a commit.
+        :raises SealedError: if another host owns these programs now.
+        :raises PlatformError: if too many bytes already wait for a commit.
         """
         if self.diversion is not None:
             encoded = self._codec.encode(record)
@@ -247,15 +248,17 @@
 
     :param settled: the ``committed`` or ``durable`` result of the entry.
     :param timeout_ms: how long to wait; ``None`` waits without limit.
-    :raises SealedError: another host owns these programs now.
-    :raises PlatformError: it was not settled in time; it may be later.
+    :raises SealedError: if another host owns these programs now.
+    :raises PlatformError: if the entry was not committed or durable in time;
+        it may still be committed later.
     """
     seconds = None if timeout_ms is None else clock.to_seconds(timeout_ms)
     try:
         settled.get(timeout=seconds)
     except gevent.Timeout:
+        limit = 'in time' if timeout_ms is None else f'within {timeout_ms} ms'
         raise exceptions.PlatformError(
-            f'the record was not committed within {timeout_ms} ms',
+            f'the record was not committed {limit}',
             step=_STEP,
             peer=_PEER,
         ) from None
--- a/src/carobfork/coordination/keepers.py
+++ b/src/carobfork/coordination/keepers.py
@@ -23,7 +23,7 @@
 
 
 class RecordReplicator:
-    """Replicate uncommitted records to peers while commits stall.
+    """Replicates uncommitted records to peers while commits stall.
 
     :param members: provides the hosts that may hold records.
     :param link: sends requests to peers.
--- a/src/carobfork/coordination/retentions.py
+++ b/src/carobfork/coordination/retentions.py
@@ -1,4 +1,4 @@
-"""Remove programs once their retention time after the end has passed."""
+"""Remove ended programs after a retention period."""
 
 import gevent
 
@@ -10,7 +10,7 @@
 
 
 class Retention:
-    """Remove ended programs after ``RETENTION_MS``.
+    """Removes ended programs after ``RETENTION_MS``.
 
     Each process measures the time itself, so a takeover restarts it.
 
@@ -33,7 +33,7 @@
             self.step()
 
     def step(self) -> None:
-        """Remove the programs whose retention time has passed."""
+        """Remove the programs whose retention period has passed."""
         now_ms = self._timer.now_ms()
         ended = self._ended()
         self._ended_ms = {
--- a/src/carobfork/coordination/seals.py
+++ b/src/carobfork/coordination/seals.py
@@ -1,4 +1,4 @@
-"""Seal the journal of a dead incarnation and read its records.
+"""Seal the journal of another incarnation and read its records.
 
 The conditional create of the next segment decides which of several hosts
 takes the programs over, and it fences the former owner.
@@ -18,7 +18,7 @@
 
 
 class Holders(Protocol):
-    """Gives access to the peers that hold records for an incarnation."""
+    """The peers that hold records for an incarnation."""
 
     def gather(
         self, incarnation: identifiers.Incarnation, tail: segments.Tail
@@ -30,7 +30,7 @@
 
 
 class Sealer:
-    """Seal journals.
+    """Seals the journals of dead or stopping incarnations.
 
     :param store: the platform's object API.
     :param codec: encodes the seal.
@@ -56,8 +56,9 @@
     ) -> str:
         """Seal a journal and return the successor that its seal names.
 
-        :raises PlatformError: the platform or a peer did not answer. Retry:
-            an earlier attempt may have taken effect.
+        :raises PlatformError: if the platform did not answer. Callers retry,
+            as the failed attempt may have taken effect.
+        :raises ConnectionFailedError: if a live peer did not answer.
         """
         while True:
             tail = self.reader.tail(incarnation)
@@ -128,7 +129,7 @@
 
 
 class JournalTreeReader:
-    """Read a sealed journal and all journals that it adopted.
+    """Reads a sealed journal and all journals that it adopted.
 
     :param sealer: seals journals whose adoption was not finished.
     """
--- a/src/carobfork/coordination/segments.py
+++ b/src/carobfork/coordination/segments.py
@@ -34,14 +34,17 @@
 def pack(
     codec: ports.RecordCodec, last_record: int, encoded: Sequence[bytes]
 ) -> bytes:
-    """Return a segment of encoded records."""
+    """Return a segment that holds the encoded records.
+
+    :param last_record: the number of the last record.
+    """
     header = codec.encode(records.SegmentStarted(last_record))
     return codec.pack([header, *encoded])
 
 
 @attrs.frozen
 class Tail:
-    """Holds the number of the last segment and record of a journal.
+    """Holds the numbers of the last segment and record of a journal.
 
     ``successor`` is the incarnation that sealed it, empty if none did.
     """
@@ -60,7 +63,7 @@
 
 
 class JournalReader:
-    """Read the journals of any incarnation.
+    """Reads the journals of any incarnation.
 
     :param store: the platform's object API.
     :param codec: decodes segments.
@@ -95,7 +98,7 @@
     def chunk(self, key: str) -> list[records.Record]:
         """Return the records of a chunk.
 
-        :raises PlatformError: the chunk is missing.
+        :raises PlatformError: if the chunk is missing.
         """
         found = self._object(key)
         if not found:
--- a/src/carobfork/coordination/takeovers.py
+++ b/src/carobfork/coordination/takeovers.py
@@ -1,9 +1,10 @@
 """Take over the programs of dead or stopping incarnations.
 
-A takeover costs a few writes regardless of the number of programs: the
-adoption in the journal of the host that takes over, the seal, and its host
-object. The adoption is recorded first, so that it can be found if that host
-fails halfway and is taken over itself.
+A takeover costs a few writes regardless of the number of programs: an adoption
+record in the journal of the host that takes over, the seal of the other
+journal, and an update of the host object of the host that takes over. The
+adoption is recorded first, so that it can be found if that host fails halfway
+and is taken over itself.
 """
 
 import random
@@ -65,7 +66,7 @@
 
 
 class Takeovers:
-    """Decide which programs to take over, and take them over.
+    """Decides which incarnations to take over, and takes them over.
 
     :param home: receives the adopted programs.
     :param registration: publishes the adoptions at the platform.
@@ -113,7 +114,7 @@
         ]
 
     def suspect(self, host: routing.EntryHost) -> None:
-        """Take a host over once this host is its first live successor."""
+        """Queue a dead host for takeover by its first live successor."""
         self._suspects[host.incarnation.host] = _Suspect(host)
         self._wakeup.set()
 
@@ -123,7 +124,10 @@
             try:
                 self.step()
             except exceptions.CarobforkError as error:
-                logger.warning('A step will be retried.', error=str(error))
+                logger.warning(
+                    'A takeover step failed and will be retried.',
+                    error=str(error),
+                )
             self._wakeup.clear()
             self._wakeup.wait(clock.to_seconds(CHECK_INTERVAL_MS))
 
@@ -143,7 +147,7 @@
     def take(self, incarnation: identifiers.Incarnation) -> bool:
         """Take over an incarnation and return whether this host owns it.
 
-        :raises PlatformError: the takeover is not finished; retry it.
+        :raises CarobforkError: if the takeover is not finished; retry it.
         """
         with self.transfer_lock:
             if incarnation not in self._taken:
@@ -155,8 +159,8 @@
     def hand_over(self, host: routing.EntryHost, link: ports.PeerLink) -> None:
         """Make another host take over the programs of this host.
 
-        :raises CarobforkError: the host did not confirm; the programs may be
-            on either host.
+        :raises CarobforkError: if the host did not confirm; the programs may
+            be on either host.
         """
         link.request(
             host.peer_address,
@@ -168,11 +172,11 @@
     def handle_take_over(self, message: TakeOver) -> TakenOver:
         """Take over a host that is stopping.
 
-        :raises NotRunError: another host has taken its programs over.
+        :raises NotRunError: if another host has taken its programs over.
         """
         if not self.take(message.incarnation):
             raise exceptions.NotRunError(
-                'another host took the programs over', step=_STEP
+                f'another host took over {message.incarnation}', step=_STEP
             )
         self._publish()
         return TakenOver(message.incarnation)
@@ -214,7 +218,7 @@
                 gevent.sleep(0)
         if self._home.journal.sealed or own != self._home.journal.incarnation:
             raise exceptions.SealedError(
-                f'{own} was taken over meanwhile', step=_STEP
+                f'{own} was itself taken over meanwhile', step=_STEP
             )
         self._home.table.programs.update(table.programs)
         self.adopted |= tree.incarnations
@@ -253,7 +257,7 @@
         """Continue as an empty new incarnation after being taken over."""
         if self._members.leaving:
             return
-        logger.warning('This host goes on as a new incarnation.')
+        logger.warning('This host continues as a new incarnation.')
         with self.transfer_lock:
             own = self._registration.register()
             self._members.own = own
@@ -284,4 +288,6 @@
     try:
         action(subject)
     except exceptions.CarobforkError as error:
-        logger.warning('A takeover will be retried.', error=str(error))
+        logger.warning(
+            'A takeover failed and will be retried.', error=str(error)
+        )
