--- a/src/carobfork/coordination/compactions.py
+++ b/src/carobfork/coordination/compactions.py
@@ -1,10 +1,10 @@
 """Compact journals to bound their size and the data read at a restart.
 
-Committed segments are merged into chunks that leave out the records of
-forgotten programs; a manifest in the journal then replaces the segments by
-the chunks. Chunks whose records are mostly live are kept unchanged, so that a
-long history is not copied by every compaction. Journals of adopted
-incarnations are merged the same way.
+Committed segments are merged into chunks that leave out the records no longer
+needed to restore programs; a manifest in the journal then replaces the
+segments by the chunks. Chunks whose records are mostly live are kept
+unchanged, so that a long history is not copied by every compaction. Journals
+of adopted incarnations are merged the same way.
 """
 
 import itertools
@@ -45,7 +45,7 @@
 
 
 class Compactor:
-    """Compact the journal of this host.
+    """Compacts the journal of this host.
 
     :param store: the platform's object API.
     :param codec: encodes chunks.
@@ -69,7 +69,7 @@
         self._home = home
         self._adoptions = adoptions
         self._sealer = sealer
-        self._estates = seals.JournalTreeReader(sealer)
+        self._tree_reader = seals.JournalTreeReader(sealer)
         self._numbers = itertools.count(1)
         self._progress = _Progress(home.journal)
 
@@ -86,7 +86,7 @@
         """Compact if enough segments were committed since the last run.
 
         :param min_segments: number of new segments that is enough.
-        :raises PlatformError: the platform did not answer.
+        :raises PlatformError: if the platform did not answer.
         """
         journal = self._home.journal
         if journal is not self._progress.journal:
@@ -151,12 +151,12 @@
             if record.incarnation not in self._adoptions.lost:
                 writer.add(record)
             return frozenset()
-        estate = self._estates.read(record.incarnation, (own,))
-        for adopted in estate.records:
+        tree = self._tree_reader.read(record.incarnation, (own,))
+        for adopted in tree.records:
             self._copy_live(writer, adopted)
-        for incarnation in sorted(estate.incarnations):
+        for incarnation in sorted(tree.incarnations):
             self._copy_live(writer, records.Adopted(incarnation, merged=True))
-        return estate.incarnations
+        return tree.incarnations
 
     def _copy_live(
         self, writer: chunks.ChunkWriter, record: records.Record
